--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -403,11 +403,11 @@
 }
 
 void
-leased_agent_zones (LeasedAgent *agent,
-                    const ZoneChange *changes,
-                    gsize n_changes,
-                    gboolean whole,
-                    guint64 version)
+leased_agent_update_zones (LeasedAgent *agent,
+                           const ZoneChange *changes,
+                           gsize n_changes,
+                           gboolean whole,
+                           guint64 version)
 {
   if (closures_apply (agent->closures, changes, n_changes, whole, version,
                       clock_now_ms ()))
@@ -415,7 +415,7 @@
 }
 
 const Closures *
-leased_agent_closures (const LeasedAgent *agent)
+leased_agent_closed_zones (const LeasedAgent *agent)
 {
   return agent->closures;
 }
--- a/src/leased_agent.h
+++ b/src/leased_agent.h
@@ -14,7 +14,7 @@
 {
   /* Find entries' addresses; leased_agent_learn () takes them. */
   void (*look_up_entries) (gpointer ctx);
-  /* Find which availability zones are closed; leased_agent_zones () takes them. */
+  /* Find which availability zones are closed; leased_agent_update_zones () takes them. */
   void (*look_up_zones) (gpointer ctx);
 } LeasedAgentOps;
 
@@ -39,12 +39,12 @@
 void leased_agent_facts (LeasedAgent *agent, const ServerFacts *facts);
 void leased_agent_server_leaves (LeasedAgent *agent, const char *instance);
 
-/** leased_agent_zones - what the platform's table says of availability zones, as for
- * closures_apply (). */
-void leased_agent_zones (LeasedAgent *agent,
-                         const ZoneChange *changes,
-                         gsize n_changes,
-                         gboolean whole,
-                         guint64 version);
-const Closures *leased_agent_closures (const LeasedAgent *agent);
+/** leased_agent_update_zones - what the platform's table says of availability zones, as
+ * for closures_apply (). */
+void leased_agent_update_zones (LeasedAgent *agent,
+                                const ZoneChange *changes,
+                                gsize n_changes,
+                                gboolean whole,
+                                guint64 version);
+const Closures *leased_agent_closed_zones (const LeasedAgent *agent);
 void leased_agent_learn (LeasedAgent *agent, const char *address);
--- a/src/leased_entry.h
+++ b/src/leased_entry.h
@@ -55,14 +55,14 @@
 /** leased_entry_catalog - the configuration in force, or NULL. */
 Catalog *leased_entry_catalog (const LeasedEntry *entry);
 
-/** leased_entry_zones - what the platform's table says of availability zones, as for
- * closures_apply (). */
-void leased_entry_zones (LeasedEntry *entry,
-                         const ZoneChange *changes,
-                         gsize n_changes,
-                         gboolean whole,
-                         guint64 version);
-const Closures *leased_entry_closures (const LeasedEntry *entry);
+/** leased_entry_update_zones - what the platform's table says of availability zones, as
+ * for closures_apply (). */
+void leased_entry_update_zones (LeasedEntry *entry,
+                                const ZoneChange *changes,
+                                gsize n_changes,
+                                gboolean whole,
+                                guint64 version);
+const Closures *leased_entry_closed_zones (const LeasedEntry *entry);
 
 void leased_entry_learn (LeasedEntry *entry, const char *address);
 Dispatcher *leased_entry_dispatcher (LeasedEntry *entry);
--- a/src/leased_entry_zones.c
+++ b/src/leased_entry_zones.c
@@ -28,11 +28,11 @@
 }
 
 void
-leased_entry_zones (LeasedEntry *entry,
-                    const ZoneChange *changes,
-                    gsize n_changes,
-                    gboolean whole,
-                    guint64 version)
+leased_entry_update_zones (LeasedEntry *entry,
+                           const ZoneChange *changes,
+                           gsize n_changes,
+                           gboolean whole,
+                           guint64 version)
 {
   if (closures_apply (entry->closures, changes, n_changes, whole, version,
                       clock_now_ms ()))
@@ -40,7 +40,7 @@
 }
 
 const Closures *
-leased_entry_closures (const LeasedEntry *entry)
+leased_entry_closed_zones (const LeasedEntry *entry)
 {
   return entry->closures;
 }
