--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -250,7 +250,7 @@
   if (entry->draining_ms == 0 || entry->ended || elapsed < entry->drain_grace_ms)
     return;
   if (!entry->closed)
-    entry->ops->take_no_more (entry->ctx);
+    entry->ops->stop_accepting (entry->ctx);
   entry->closed = TRUE;
   if (elapsed < entry->drain_limit_ms && dispatcher_jobs (entry->dispatcher) > 0)
     return;
--- a/src/leased_entry.h
+++ b/src/leased_entry.h
@@ -21,7 +21,7 @@
   /* Find other entries' addresses; leased_entry_learn () takes them. */
   void (*look_up_entries) (gpointer ctx);
   /* The balancer has had its time to notice: take no new requests, close what is idle. */
-  void (*take_no_more) (gpointer ctx);
+  void (*stop_accepting) (gpointer ctx);
 } LeasedEntryOps;
 
 LeasedEntry *leased_entry_new (struct event_base *base,
@@ -43,14 +43,14 @@
 /** leased_entry_drain - leave: what is open is finished. */
 void leased_entry_drain (LeasedEntry *entry);
 
-/** leased_entry_offer - a configuration; an older one than known is ignored. */
-void leased_entry_offer (LeasedEntry *entry, Catalog *catalog);
+/** leased_entry_set_catalog - a configuration; an older one than known is ignored. */
+void leased_entry_set_catalog (LeasedEntry *entry, Catalog *catalog);
 
-/** leased_entry_knows - whether that text is the configuration in force. */
-gboolean leased_entry_knows (const LeasedEntry *entry, const char *source);
+/** leased_entry_has_config - whether that text is the configuration in force. */
+gboolean leased_entry_has_config (const LeasedEntry *entry, const char *source);
 
-/** leased_entry_config_is_coming - whether the platform or an entry is sending one. */
-gboolean leased_entry_config_is_coming (const LeasedEntry *entry);
+/** leased_entry_config_pending - whether the platform or an entry is sending one. */
+gboolean leased_entry_config_pending (const LeasedEntry *entry);
 
 /** leased_entry_catalog - the configuration in force, or NULL. */
 Catalog *leased_entry_catalog (const LeasedEntry *entry);
--- a/src/leased_entry_config.c
+++ b/src/leased_entry_config.c
@@ -32,7 +32,7 @@
       g_clear_error (&error);
       return;
     }
-  leased_entry_offer (entry, catalog);
+  leased_entry_set_catalog (entry, catalog);
   catalog_unref (catalog);
 }
 
@@ -155,7 +155,7 @@
 }
 
 void
-leased_entry_offer (LeasedEntry *entry, Catalog *catalog)
+leased_entry_set_catalog (LeasedEntry *entry, Catalog *catalog)
 {
   if (catalog->version <= own_version (entry))
     return;
@@ -174,13 +174,13 @@
 }
 
 gboolean
-leased_entry_knows (const LeasedEntry *entry, const char *source)
+leased_entry_has_config (const LeasedEntry *entry, const char *source)
 {
   return entry->catalog != NULL && strcmp (entry->catalog->source, source) == 0;
 }
 
 gboolean
-leased_entry_config_is_coming (const LeasedEntry *entry)
+leased_entry_config_pending (const LeasedEntry *entry)
 {
   return entry->spread.asked_ms > 0 || entry->ops->config_arriving (entry->ctx);
 }
