--- a/src/hedge.h
+++ b/src/hedge.h
@@ -10,9 +10,9 @@
 typedef struct
 {
   guint after_ms;  /* without a byte of an answer: another attempt */
-  guint spread_ms; /* and up to this much later, so that processes do not call in step */
+  guint jitter_ms; /* and up to this much later, so that processes do not call in step */
   guint stall_ms;  /* the same once an answer has begun */
-  guint attempts_most; /* under way at once */
+  guint max_in_flight; /* under way at once */
 } HedgePolicy;
 
 typedef struct
--- a/src/hedged_call.c
+++ b/src/hedged_call.c
@@ -20,7 +20,7 @@
   gpointer ctx;
   enum evhttp_cmd_type method;
   char *path;
-  char *again_path;
+  char *hedge_path;
   char **headers;
   char *body;
   guint wait_ms;
@@ -172,7 +172,7 @@
   HedgedCall *call = ctx;
 
   call->ops->repeated (clock_now_ms () - call->heard_ms, call->ctx);
-  attempt_new (call, call->again_path, 0, TRUE);
+  attempt_new (call, call->hedge_path, 0, TRUE);
 }
 
 HedgedCall *
@@ -191,8 +191,8 @@
   call->ctx = ctx;
   call->method = request->method;
   call->path = g_strdup (request->path);
-  call->again_path
-      = g_strdup (request->again_path != NULL ? request->again_path : request->path);
+  call->hedge_path
+      = g_strdup (request->hedge_path != NULL ? request->hedge_path : request->path);
   call->headers = g_strdupv ((char **)request->headers);
   call->body = g_strdup (request->body);
   call->wait_ms = request->wait_ms;
@@ -217,7 +217,7 @@
   event_free (call->timer);
   g_strfreev (call->headers);
   g_free (call->path);
-  g_free (call->again_path);
+  g_free (call->hedge_path);
   g_free (call->body);
   g_free (call);
 }
--- a/src/hedged_call.h
+++ b/src/hedged_call.h
@@ -21,7 +21,7 @@
 {
   enum evhttp_cmd_type method;
   const char *path;
-  const char *again_path; /* of further attempts; NULL: the same */
+  const char *hedge_path; /* of further attempts; NULL: the same */
   const char *const *headers;
   const char *body;  /* NULL: none */
   guint wait_ms;     /* the other end was asked to wait this long, by @path */
--- a/src/table_calls.c
+++ b/src/table_calls.c
@@ -143,16 +143,16 @@
 table_calls_new (struct event_base *base, const char *address, const TableCallsInit *init)
 {
   TableCalls *calls = g_new0 (TableCalls, 1);
-  guint attempts_most = 1 + init->limit_ms / init->timeout_ms;
+  guint max_in_flight = 1 + init->limit_ms / init->timeout_ms;
 
   calls->base = base;
   calls->at_once = init->at_once;
   calls->limit_ms = init->limit_ms;
   calls->policy.after_ms = init->timeout_ms;
-  calls->policy.spread_ms = init->timeout_ms / SPREAD_PART;
+  calls->policy.jitter_ms = init->timeout_ms / SPREAD_PART;
   calls->policy.stall_ms = init->timeout_ms;
-  calls->policy.attempts_most = attempts_most;
-  calls->pool = http_pool_new (base, address, init->at_once * attempts_most);
+  calls->policy.max_in_flight = max_in_flight;
+  calls->pool = http_pool_new (base, address, init->at_once * max_in_flight);
   TAILQ_INIT (&calls->waiting);
   TAILQ_INIT (&calls->made);
   return calls;
--- a/tests/test-hedge.c
+++ b/tests/test-hedge.c
@@ -160,7 +160,7 @@
           play (&reader, &outage, (gint64)i * PHASE_MS);
           first_ms = MIN (first_ms, reader.answered_ms);
           last_ms = MAX (last_ms, reader.answered_ms);
-          g_assert_cmpuint (reader.under_way, <=, c->policy->attempts_most);
+          g_assert_cmpuint (reader.under_way, <=, c->policy->max_in_flight);
           g_assert_cmpint (reader.calls * (gint64)c->policy->after_ms, <=,
                            silent_ms + (gint64)2 * c->policy->after_ms);
         }
@@ -185,7 +185,7 @@
 } Moment;
 
 static const HedgePolicy policy
-    = { .after_ms = 300, .spread_ms = 100, .stall_ms = 800, .attempts_most = 3 };
+    = { .after_ms = 300, .jitter_ms = 100, .stall_ms = 800, .max_in_flight = 3 };
 
 static const Moment moments[] = {
   { "nothing-heard", { 1, FALSE, 1000, 0.0 }, 1300 },
