--- a/src/agent_frames.c
+++ b/src/agent_frames.c
@@ -129,7 +129,7 @@
 on_frame (Link *link, const Gw__Frame *frame, gpointer ctx)
 {
   Agent *agent = ctx;
-  AgentLink *record = agent_peers_of_link (agent->peers, link);
+  AgentLink *record = agent_peers_find_link (agent->peers, link);
 
   if (record == NULL)
     return;
@@ -158,7 +158,7 @@
 on_down (Link *link, LinkEnd end, gpointer ctx)
 {
   Agent *agent = ctx;
-  const AgentLink *record = agent_peers_of_link (agent->peers, link);
+  const AgentLink *record = agent_peers_find_link (agent->peers, link);
   guint64 incarnation = record != NULL ? record->incarnation : 0;
 
   agent_peers_link_down (agent->peers, link);
--- a/src/agent_peers.c
+++ b/src/agent_peers.c
@@ -139,7 +139,7 @@
 }
 
 AgentLink *
-agent_peers_of_link (AgentPeers *peers, const Link *link)
+agent_peers_find_link (AgentPeers *peers, const Link *link)
 {
   AgentLink *record;
 
@@ -152,7 +152,7 @@
 AgentLink *
 agent_peers_link_up (AgentPeers *peers, Link *link)
 {
-  AgentLink *record = agent_peers_of_link (peers, link);
+  AgentLink *record = agent_peers_find_link (peers, link);
   const Gw__Hello *hello = link_peer (link);
 
   if (record == NULL)
@@ -165,7 +165,7 @@
 void
 agent_peers_link_down (AgentPeers *peers, Link *link)
 {
-  AgentLink *record = agent_peers_of_link (peers, link);
+  AgentLink *record = agent_peers_find_link (peers, link);
 
   if (record != NULL)
     agent_link_free (peers, record);
--- a/src/agent_peers.h
+++ b/src/agent_peers.h
@@ -31,7 +31,7 @@
 /** agent_peers_link_up - Return: the record of the link. */
 AgentLink *agent_peers_link_up (AgentPeers *peers, Link *link);
 void agent_peers_link_down (AgentPeers *peers, Link *link);
-AgentLink *agent_peers_of_link (AgentPeers *peers, const Link *link);
+AgentLink *agent_peers_find_link (AgentPeers *peers, const Link *link);
 
 /**
  * agent_peers_prefer - this is the link its entry has chosen for its tasks.
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -208,7 +208,7 @@
   LeasedAgent *agent = ctx;
   gint64 now = clock_now_ms ();
 
-  leased_agent_hear_pace (peer, now);
+  leased_agent_update_throttle (peer, now);
   if (closures_hear (agent->closures, frame, now))
     zones_changed (agent);
   if (frame->time != NULL && frame->time->granted_until_ms > 0)
@@ -314,8 +314,8 @@
   agent->mesh = mesh_new (&mesh, &mesh_ops, agent);
   mesh_seed (agent->mesh, settings->peers);
   agent->tick = event_new (base, -1, EV_PERSIST, on_tick, agent);
-  agent->changed = event_new (base, -1, 0, leased_agent_tell_state, agent);
-  agent->offer_ends = evtimer_new (base, leased_agent_end_offer, agent);
+  agent->changed = event_new (base, -1, 0, leased_agent_send_state, agent);
+  agent->offer_ends = evtimer_new (base, leased_agent_expire_offers, agent);
   agent->offers = offers_new ();
   agent->closures = closures_new ();
   agent->figures = figures_new (base);
--- a/src/leased_agent_parts.h
+++ b/src/leased_agent_parts.h
@@ -39,15 +39,15 @@
 
 /* leased_agent_state.c */
 
-/** leased_agent_tell_state - callback of the event "changed": tell whoever must know now.
+/** leased_agent_send_state - callback of the event "changed": tell whoever must know now.
  */
-void leased_agent_tell_state (evutil_socket_t fd, short what, void *ctx);
+void leased_agent_send_state (evutil_socket_t fd, short what, void *ctx);
 
-/** leased_agent_end_offer - callback of the timer of an offer. */
-void leased_agent_end_offer (evutil_socket_t fd, short what, void *ctx);
+/** leased_agent_expire_offers - callback of the timer of an offer. */
+void leased_agent_expire_offers (evutil_socket_t fd, short what, void *ctx);
 
-/** leased_agent_hear_pace - a frame of an entry said how late the agent's come. */
-void leased_agent_hear_pace (MeshPeer *peer, gint64 now_ms);
+/** leased_agent_update_throttle - a frame of an entry said how late the agent's come. */
+void leased_agent_update_throttle (MeshPeer *peer, gint64 now_ms);
 
 /** leased_agent_prepare - put the state into a frame if it is news to that entry. */
 void leased_agent_prepare (MeshPeer *peer, Gw__Frame *frame, gpointer ctx);
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -115,7 +115,7 @@
 }
 
 void
-leased_agent_hear_pace (MeshPeer *peer, gint64 now_ms)
+leased_agent_update_throttle (MeshPeer *peer, gint64 now_ms)
 {
   ToldState *told = peer->data;
 
@@ -124,7 +124,7 @@
 }
 
 void
-leased_agent_tell_state (evutil_socket_t fd, short what, void *ctx)
+leased_agent_send_state (evutil_socket_t fd, short what, void *ctx)
 {
   LeasedAgent *agent = ctx;
   gint64 now = clock_now_ms ();
@@ -156,12 +156,12 @@
 }
 
 void
-leased_agent_end_offer (evutil_socket_t fd, short what, void *ctx)
+leased_agent_expire_offers (evutil_socket_t fd, short what, void *ctx)
 {
   LeasedAgent *agent = ctx;
 
   offers_tick (agent->offers, clock_now_ms ());
-  leased_agent_tell_state (-1, 0, agent);
+  leased_agent_send_state (-1, 0, agent);
 }
 
 static void
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -389,7 +389,7 @@
     return;
   entry->draining_ms = clock_now_ms ();
   event_note ("leaving", "-", "jobs=%u", dispatcher_jobs (entry->dispatcher));
-  leased_entry_tell_all (entry);
+  leased_entry_send_all (entry);
 }
 
 const char *
--- a/src/leased_entry_config.c
+++ b/src/leased_entry_config.c
@@ -147,7 +147,7 @@
 }
 
 void
-leased_entry_tell_all (LeasedEntry *entry)
+leased_entry_send_all (LeasedEntry *entry)
 {
   for (MeshPeer *peer = mesh_first (entry->mesh); peer != NULL; peer = mesh_next (peer))
     if (is_linked_entry (peer))
@@ -170,7 +170,7 @@
   catalog_ref (catalog);
   catalog_unref (entry->catalog);
   entry->catalog = catalog;
-  leased_entry_tell_all (entry);
+  leased_entry_send_all (entry);
 }
 
 gboolean
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -36,8 +36,8 @@
   gboolean ended;     /* only the farewell is left */
 };
 
-/** leased_entry_tell_all - send every linked entry a frame in this turn of the loop. */
-void leased_entry_tell_all (LeasedEntry *entry);
+/** leased_entry_send_all - send every linked entry a frame in this turn of the loop. */
+void leased_entry_send_all (LeasedEntry *entry);
 
 /* leased_entry_zones.c */
 
