--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -7,17 +7,17 @@
 #include <string.h>
 
 #define PROTOCOL_VERSION 1
-/* Entries that use one server. Links, heartbeats and states of the server grow with it;
- * with fewer, an entry to which many callers come finds less of the free room. */
-#define MOST_ENTRIES 16
-/* While no entry has told how the closed zones stand for this long, the agent asks the
- * platform, this often. */
+/* Entries linked to one agent. Each one costs a link, heartbeats and state updates; with
+ * fewer links, an entry with many callers reaches less of the free capacity. */
+#define MAX_ENTRIES 16
+/* Without an update of the closed zones from any entry for ZONES_STALE_MS, the agent
+ * looks them up on the platform every ZONES_LOOKUP_MS. */
 #define ZONES_STALE_MS 1200
-#define ZONES_ASK_MS 1000
-/* Reports of the last runs are given this long to leave the process. */
-#define FAREWELL_MS 100
+#define ZONES_LOOKUP_MS 1000
+/* Time for the reports of the last runs to be sent before the process exits. */
+#define FINAL_FLUSH_MS 100
 
-/* What the runner reports. */
+/* Callbacks of the runner. */
 
 static Gw__RunReport *
 message_report (const RunReport *report)
@@ -35,7 +35,7 @@
 }
 
 static void
-tell_offers_room (LeasedAgent *agent)
+update_free_capacity (LeasedAgent *agent)
 {
   Demand room = *runner_capacity (agent->runner);
 
@@ -43,8 +43,8 @@
   offers_room (agent->offers, &room);
 }
 
-/* Nobody waits for the word that a run has started: it goes with the next frame, often
- * that of the run's end. */
+/* The report of a start is not urgent: it goes with the next frame, often the one that
+ * reports the end of the run. */
 static void
 on_report (guint64 entry, const RunReport *report, gpointer ctx)
 {
@@ -53,7 +53,7 @@
 
   if (report->kind != REPORT_STARTED && report->kind != REPORT_NOT_STARTED)
     {
-      tell_offers_room (agent);
+      update_free_capacity (agent);
       offers_freed (agent->offers, clock_now_ms ());
     }
   if (peer == NULL || peer->link == NULL)
@@ -64,13 +64,13 @@
     link_append (peer->link, LINK_RUN_REPORTS, &message_report (report)->base);
 }
 
-/* The state rides on every frame; a change is worth a frame of its own. */
+/* The state is piggybacked on every frame; an urgent change is sent at once. */
 static void
 on_runner_changed (gpointer ctx)
 {
   LeasedAgent *agent = ctx;
 
-  tell_offers_room (agent);
+  update_free_capacity (agent);
   event_active (agent->changed, EV_TIMEOUT, 0);
 }
 
@@ -137,11 +137,12 @@
   g_clear_pointer (&peer->data, g_free);
 }
 
-/* The zone is the backend server's own word of where it stands. */
+/* The zone is the one that the backend server reports for itself. */
 static void
 apply_zones (LeasedAgent *agent)
 {
-  gboolean closed = agent->zone != NULL && closures_has (agent->closures, agent->zone);
+  gboolean closed
+      = agent->zone != NULL && closures_has (agent->closed_zones, agent->zone);
 
   runner_close_zone (agent->runner, closed);
 }
@@ -156,10 +157,10 @@
 static void
 check_zones (LeasedAgent *agent, gint64 now)
 {
-  if (closures_age_ms (agent->closures, now) < ZONES_STALE_MS
-      || now - agent->zones_asked_ms < ZONES_ASK_MS)
+  if (closures_age_ms (agent->closed_zones, now) < ZONES_STALE_MS
+      || now - agent->zones_lookup_ms < ZONES_LOOKUP_MS)
     return;
-  agent->zones_asked_ms = now;
+  agent->zones_lookup_ms = now;
   agent->ops->look_up_zones (agent->ctx);
 }
 
@@ -209,7 +210,7 @@
   gint64 now = clock_now_ms ();
 
   leased_agent_update_throttle (peer, now);
-  if (closures_hear (agent->closures, frame, now))
+  if (closures_hear (agent->closed_zones, frame, now))
     zones_changed (agent);
   if (frame->time != NULL && frame->time->granted_until_ms > 0)
     runner_grant (agent->runner, peer->incarnation, frame->time->granted_until_ms);
@@ -239,12 +240,12 @@
     = { on_up,        on_down,     on_frame,   leased_agent_prepare,
         on_forgotten, on_isolated, may_release };
 
-/* The clock's work. */
+/* Periodic work. */
 
 static void
 drain_tick (LeasedAgent *agent, gint64 now)
 {
-  struct timeval delay = timeval_from_ms (FAREWELL_MS);
+  struct timeval delay = timeval_from_ms (FINAL_FLUSH_MS);
 
   if (agent->draining_ms == 0 || agent->ended
       || (runner_count (agent->runner) > 0
@@ -263,7 +264,7 @@
   gint64 now = clock_now_ms ();
 
   if (agent->ticked_ms > 0)
-    figures_note_lag (agent->figures, now - agent->ticked_ms - RUNNER_TICK_MS);
+    figures_note_lag (agent->stats, now - agent->ticked_ms - RUNNER_TICK_MS);
   agent->ticked_ms = now;
   if (now - agent->mesh_ticked_ms >= MESH_TICK_MS)
     {
@@ -302,7 +303,7 @@
                     .timeout_ms = settings->timeout_ms,
                     .lease_ms = settings->entry_lease_ms,
                     .forget_ms = 4 * settings->entry_lease_ms,
-                    .most_entries = MOST_ENTRIES };
+                    .most_entries = MAX_ENTRIES };
 
   agent->base = base;
   agent->ops = ops;
@@ -315,10 +316,10 @@
   mesh_seed (agent->mesh, settings->peers);
   agent->tick = event_new (base, -1, EV_PERSIST, on_tick, agent);
   agent->changed = event_new (base, -1, 0, leased_agent_send_state, agent);
-  agent->offer_ends = evtimer_new (base, leased_agent_expire_offers, agent);
+  agent->offer_timer = evtimer_new (base, leased_agent_expire_offers, agent);
   agent->offers = offers_new ();
-  agent->closures = closures_new ();
-  agent->figures = figures_new (base);
+  agent->closed_zones = closures_new ();
+  agent->stats = figures_new (base);
   return agent;
 }
 
@@ -333,14 +334,14 @@
 {
   if (agent == NULL)
     return;
-  figures_free (agent->figures);
+  figures_free (agent->stats);
   mesh_free (agent->mesh);
   runner_free (agent->runner);
   event_free (agent->tick);
   event_free (agent->changed);
-  event_free (agent->offer_ends);
+  event_free (agent->offer_timer);
   offers_free (agent->offers);
-  closures_free (agent->closures);
+  closures_free (agent->closed_zones);
   g_free (agent->hello.name);
   g_free (agent->hello.zone);
   g_free (agent->service);
@@ -409,7 +410,7 @@
                            gboolean whole,
                            guint64 version)
 {
-  if (closures_apply (agent->closures, changes, n_changes, whole, version,
+  if (closures_apply (agent->closed_zones, changes, n_changes, whole, version,
                       clock_now_ms ()))
     zones_changed (agent);
 }
@@ -417,5 +418,5 @@
 const Closures *
 leased_agent_closed_zones (const LeasedAgent *agent)
 {
-  return agent->closures;
+  return agent->closed_zones;
 }
--- a/src/leased_agent.h
+++ b/src/leased_agent.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The agent of leased jobs: stands beside one backend server, links to the entries and
- * lets them start tasks through its runner. */
+/* Agent of the leased path: serves one backend server, links to the entries and starts
+ * the tasks that they order on it. */
 #include "closures.h"
 #include "runner.h"
 #include "settings.h"
@@ -9,12 +9,12 @@
 
 typedef struct LeasedAgent LeasedAgent;
 
-/* What an agent needs of the platform it runs on. */
+/* Callbacks into the platform. */
 typedef struct
 {
-  /* Find entries' addresses; leased_agent_learn () takes them. */
+  /* Look up the addresses of entries; results go to leased_agent_learn (). */
   void (*look_up_entries) (gpointer ctx);
-  /* Find which availability zones are closed; leased_agent_update_zones () takes them. */
+  /* Look up the closed availability zones; results go to leased_agent_update_zones (). */
   void (*look_up_zones) (gpointer ctx);
 } LeasedAgentOps;
 
@@ -26,25 +26,27 @@
                                gpointer ctx);
 void leased_agent_free (LeasedAgent *agent);
 
-/** leased_agent_close - take no more answers of the backend server and call it no more.
- */
+/** leased_agent_close - stop calling the backend server, ignore its pending replies. */
 void leased_agent_close (LeasedAgent *agent);
 gboolean leased_agent_start (LeasedAgent *agent, GError **error);
 void leased_agent_reload (LeasedAgent *agent, const Settings *settings);
 
-/** leased_agent_drain - start nothing more, leave the loop when nothing runs. */
+/** leased_agent_drain - start no further tasks; leave the event loop once no task runs or
+ * the drain limit has passed. */
 void leased_agent_drain (LeasedAgent *agent);
 
-/** leased_agent_facts - the backend server reports about itself. */
+/** leased_agent_facts - handle a heartbeat report of the backend server. */
 void leased_agent_facts (LeasedAgent *agent, const ServerFacts *facts);
 void leased_agent_server_leaves (LeasedAgent *agent, const char *instance);
 
-/** leased_agent_update_zones - what the platform's table says of availability zones, as
- * for closures_apply (). */
+/** leased_agent_update_zones - apply zone states read from the platform's table;
+ * arguments as for closures_apply (). */
 void leased_agent_update_zones (LeasedAgent *agent,
                                 const ZoneChange *changes,
                                 gsize n_changes,
                                 gboolean whole,
                                 guint64 version);
 const Closures *leased_agent_closed_zones (const LeasedAgent *agent);
+
+/** leased_agent_learn - add an address at which an entry may be reached. */
 void leased_agent_learn (LeasedAgent *agent, const char *address);
--- a/src/leased_agent_parts.h
+++ b/src/leased_agent_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the parts of the agent share. leased_agent.c is its life and its traffic,
- * leased_agent_state.c tells the entries the state of the backend server. */
+/* Shared by the agent's source files: leased_agent.c has its lifecycle and frames,
+ * leased_agent_state.c sends the state of the backend server to the entries. */
 #include "closures.h"
 #include "figures.h"
 #include "leased_agent.h"
@@ -19,19 +19,19 @@
   Runner *runner;
   struct event *tick;
   struct event *changed;
-  struct event *offer_ends;
+  struct event *offer_timer;
   Offers *offers;
-  Closures *closures;
-  gint64 zones_asked_ms; /* when the platform was last asked for them */
-  Figures *figures;
+  Closures *closed_zones;
+  gint64 zones_lookup_ms; /* last lookup on the platform */
+  Figures *stats;
   gint64 mesh_ticked_ms;
   gint64 ticked_ms;
-  gint64 draining_ms; /* since when; 0: not */
-  gboolean ended;     /* only the farewell is left */
+  gint64 draining_ms; /* start of draining; 0: not draining */
+  gboolean ended;     /* the loop exits once the final frames are out */
   char *service;
   char *zone;
   char **labels;
-  /* Of the frame that is being prepared. */
+  /* Parts of the frame that is being prepared. */
   Gw__ServerState state;
   Gw__Demand capacity;
   Gw__Demand used_by_others;
@@ -39,15 +39,16 @@
 
 /* leased_agent_state.c */
 
-/** leased_agent_send_state - callback of the event "changed": tell whoever must know now.
- */
+/** leased_agent_send_state - callback of the event "changed": send the server's state to
+ * the entries for which the change is urgent. */
 void leased_agent_send_state (evutil_socket_t fd, short what, void *ctx);
 
-/** leased_agent_expire_offers - callback of the timer of an offer. */
+/** leased_agent_expire_offers - callback of the offer timer. */
 void leased_agent_expire_offers (evutil_socket_t fd, short what, void *ctx);
 
-/** leased_agent_update_throttle - a frame of an entry said how late the agent's come. */
+/** leased_agent_update_throttle - take the delay of the agent's frames that an entry
+ * reported. */
 void leased_agent_update_throttle (MeshPeer *peer, gint64 now_ms);
 
-/** leased_agent_prepare - put the state into a frame if it is news to that entry. */
+/** leased_agent_prepare - add the state to a frame if it differs from what @peer has. */
 void leased_agent_prepare (MeshPeer *peer, Gw__Frame *frame, gpointer ctx);
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-/* The state of the server is told to an entry at most this often by a frame of its own.
- */
-#define STATE_LEAST_MS 15
-/* Room is tight when less than this part of the server is free. */
-#define TIGHT_PART 4
+/* Least interval between two frames that are sent to one entry for the state alone. */
+#define STATE_MIN_INTERVAL_MS 15
+/* A server is nearly full for an entry if others leave less than 1/NEARLY_FULL_PART of
+ * its CPU. */
+#define NEARLY_FULL_PART 4
 
 typedef struct
 {
@@ -23,77 +23,77 @@
   Demand used_by_others;
 } State;
 
-/* What an entry was told last, and how often it can be told. */
+/* The state last sent to an entry, and the throttle of these sends. */
 typedef struct
 {
   State state;
-  gint64 told_ms;
-  Pace pace;
-} ToldState;
+  gint64 sent_ms;
+  Pace throttle;
+} SentState;
 
-/* Told in steps: each step is news to all entries. */
+/* Rounded to steps of @step percent: each change is sent to all entries. */
 static guint
-in_steps (double share, guint step)
+percent_in_steps (double share, guint step)
 {
   return (guint)(share * 100 / step + 0.5) * step;
 }
 
-/* What is kept for other entries is in use for this one. */
+/* Counts what is reserved for other entries as used by others. */
 static void
-hide_kept_room (const LeasedAgent *agent, guint64 entry, State *state)
+hide_reserved (const LeasedAgent *agent, guint64 entry, State *state)
 {
-  Demand kept = *runner_capacity (agent->runner);
+  Demand reserved = *runner_capacity (agent->runner);
   Demand visible = offers_room_for (agent->offers, entry);
 
-  demand_subtract (&kept, runner_used (agent->runner));
-  demand_subtract (&kept, &visible);
-  demand_add (&state->used_by_others, &kept);
+  demand_subtract (&reserved, runner_used (agent->runner));
+  demand_subtract (&reserved, &visible);
+  demand_add (&state->used_by_others, &reserved);
 }
 
 static State
 state_for (const LeasedAgent *agent, const MeshPeer *peer)
 {
   guint64 entry = peer->incarnation;
-  const Quality *quality = runner_quality (agent->runner);
+  const Quality *health = runner_quality (agent->runner);
   State state;
 
   memset (&state, 0, sizeof state);
   state.ready = runner_ready (agent->runner) && peer->surplus_ms == 0;
   state.draining = runner_draining (agent->runner);
   state.closed = runner_zone_is_closed (agent->runner);
-  state.trust = quality->trust;
-  state.slowness_percent = in_steps (quality->slowness, 20);
-  state.failing_percent = in_steps (quality->failing, 20);
+  state.trust = health->trust;
+  state.slowness_percent = percent_in_steps (health->slowness, 20);
+  state.failing_percent = percent_in_steps (health->failing, 20);
   state.capacity = *runner_capacity (agent->runner);
   state.used_by_others = runner_used_by_others (agent->runner, entry);
   state.offered = offers_keep (agent->offers, entry);
-  hide_kept_room (agent, entry, &state);
+  hide_reserved (agent, entry, &state);
   return state;
 }
 
 static gboolean
-state_is_news (const State *state, const ToldState *told)
+state_differs (const State *state, const SentState *sent)
 {
-  return told == NULL || memcmp (&told->state, state, sizeof *state) != 0;
+  return sent == NULL || memcmp (&sent->state, state, sizeof *state) != 0;
 }
 
 static gboolean
-is_tight (const State *state)
+is_nearly_full (const State *state)
 {
   return state->used_by_others.cpu_milli
-         > state->capacity.cpu_milli - state->capacity.cpu_milli / TIGHT_PART;
+         > state->capacity.cpu_milli - state->capacity.cpu_milli / NEARLY_FULL_PART;
 }
 
-/* Whether an entry must know now. With much room left it places just as well by what it
- * knows, and the news rides on the next frame. */
+/* Whether to send the change at once. With enough free capacity an entry places just as
+ * well by the old state, and the new one is piggybacked on the next frame. */
 static gboolean
-is_urgent (const State *state, const ToldState *told)
+is_urgent (const State *state, const SentState *sent)
 {
-  if (told == NULL || state->offered || told->state.ready != state->ready
-      || told->state.draining != state->draining || told->state.closed != state->closed
-      || told->state.trust != state->trust)
+  if (sent == NULL || state->offered || sent->state.ready != state->ready
+      || sent->state.draining != state->draining || sent->state.closed != state->closed
+      || sent->state.trust != state->trust)
     return TRUE;
-  return is_tight (state) || is_tight (&told->state);
+  return is_nearly_full (state) || is_nearly_full (&sent->state);
 }
 
 static void
@@ -101,26 +101,27 @@
 {
   struct timeval delay = timeval_from_ms (OFFER_MS);
 
-  if (offers_open (agent->offers) && !event_pending (agent->offer_ends, EV_TIMEOUT, NULL))
-    event_add (agent->offer_ends, &delay);
+  if (offers_open (agent->offers)
+      && !event_pending (agent->offer_timer, EV_TIMEOUT, NULL))
+    event_add (agent->offer_timer, &delay);
 }
 
-/* An offer is taken within a round trip or lapses: it cannot wait for its turn. */
+/* An offer expires after about a round trip, so it is not throttled. */
 static gint64
-left_ms (const State *state, const ToldState *told, gint64 now_ms)
+throttled_ms (const State *state, const SentState *sent, gint64 now_ms)
 {
-  if (told == NULL || state->offered)
+  if (sent == NULL || state->offered)
     return 0;
-  return told->told_ms + pace_interval_ms (&told->pace) - now_ms;
+  return sent->sent_ms + pace_interval_ms (&sent->throttle) - now_ms;
 }
 
 void
 leased_agent_update_throttle (MeshPeer *peer, gint64 now_ms)
 {
-  ToldState *told = peer->data;
+  SentState *sent = peer->data;
 
-  if (told != NULL)
-    pace_hear (&told->pace, peer->told_late_ms, now_ms);
+  if (sent != NULL)
+    pace_hear (&sent->throttle, peer->told_late_ms, now_ms);
 }
 
 void
@@ -134,14 +135,14 @@
   schedule_offer_end (agent);
   for (peer = mesh_first (agent->mesh); peer != NULL; peer = mesh_next (peer))
     {
-      const ToldState *told = peer->data;
+      const SentState *sent = peer->data;
       State state = state_for (agent, peer);
       gint64 wait_ms;
 
-      if (peer->link == NULL || !state_is_news (&state, told)
-          || !is_urgent (&state, told))
+      if (peer->link == NULL || !state_differs (&state, sent)
+          || !is_urgent (&state, sent))
         continue;
-      wait_ms = left_ms (&state, told, now);
+      wait_ms = throttled_ms (&state, sent, now);
       if (wait_ms <= 0)
         link_touch (peer->link);
       else
@@ -168,19 +169,19 @@
 put_state (LeasedAgent *agent, MeshPeer *peer, Gw__Frame *frame)
 {
   const char *instance = runner_instance (agent->runner);
-  ToldState *told = peer->data;
+  SentState *sent = peer->data;
   State now = state_for (agent, peer);
   const State *state = &now;
 
-  if (instance == NULL || !state_is_news (state, peer->data))
+  if (instance == NULL || !state_differs (state, peer->data))
     return;
-  if (told == NULL)
+  if (sent == NULL)
     {
-      peer->data = told = g_new0 (ToldState, 1);
-      told->pace = pace_new (STATE_LEAST_MS);
+      peer->data = sent = g_new0 (SentState, 1);
+      sent->throttle = pace_new (STATE_MIN_INTERVAL_MS);
     }
-  told->state = now;
-  told->told_ms = clock_now_ms ();
+  sent->state = now;
+  sent->sent_ms = clock_now_ms ();
   gw__server_state__init (&agent->state);
   agent->state.instance = (char *)instance;
   agent->state.service = agent->service;
@@ -206,6 +207,6 @@
 {
   LeasedAgent *agent = ctx;
 
-  closures_tell (agent->closures, &peer->closures, 0, frame, clock_now_ms ());
+  closures_tell (agent->closed_zones, &peer->closures, 0, frame, clock_now_ms ());
   put_state (agent, peer, frame);
 }
