--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -9,13 +9,13 @@
 
 #define TICK_MS DISPATCHER_TICK_MS
 #define PROTOCOL_VERSION 1
-/* Entries hold no leases of each other, and news goes out at once: their heartbeats, one
- * for each other entry, are this much slower than those to agents. */
-#define ENTRY_PACE 4
-/* The last frames are given this long to leave the process. */
-#define FAREWELL_MS 100
+/* Entries hold no leases from each other and send changes at once, so heartbeats among
+ * entries, one for each other entry, may be this much slower than those to agents. */
+#define ENTRY_HEARTBEAT_FACTOR 4
+/* Time for the final frames to be sent before the process exits. */
+#define FINAL_FLUSH_MS 100
 
-/* The dispatcher's messages. */
+/* Callbacks of the dispatcher. */
 
 static Gw__TaskRun *
 message_task_run (const RunKey *key)
@@ -58,7 +58,7 @@
 }
 
 static void
-on_want (LeasedServer *server, const Wish *wish, gpointer ctx)
+on_request_resources (LeasedServer *server, const Wish *wish, gpointer ctx)
 {
   MeshPeer *peer = leased_server_owner (server);
   Gw__RunOrder *order = g_new (Gw__RunOrder, 1);
@@ -84,14 +84,15 @@
 }
 
 static void
-on_want_pump (gpointer ctx)
+on_schedule_pump (gpointer ctx)
 {
   LeasedEntry *entry = ctx;
 
   event_active (entry->pump, EV_TIMEOUT, 0);
 }
 
-static const DispatcherOps dispatcher_ops = { on_order, on_want, on_stop, on_want_pump };
+static const DispatcherOps dispatcher_ops
+    = { on_order, on_request_resources, on_stop, on_schedule_pump };
 
 static void
 on_pump (evutil_socket_t fd, short what, void *ctx)
@@ -185,7 +186,8 @@
 static void
 on_frame (MeshPeer *peer, const Gw__Frame *frame, gpointer ctx)
 {
-  /* Before the states of servers: who stands in a zone that has just opened is open. */
+  /* Before the server states: a server in a zone that was just reopened must count as
+   * open. */
   leased_entry_zones_frame (ctx, frame);
   if (peer->is_entry)
     leased_entry_config_frame (ctx, peer, frame);
@@ -245,7 +247,7 @@
 drain_tick (LeasedEntry *entry, gint64 now)
 {
   gint64 elapsed = now - entry->draining_ms;
-  struct timeval delay = timeval_from_ms (FAREWELL_MS);
+  struct timeval delay = timeval_from_ms (FINAL_FLUSH_MS);
 
   if (entry->draining_ms == 0 || entry->ended || elapsed < entry->drain_grace_ms)
     return;
@@ -267,7 +269,7 @@
   gint64 now = clock_now_ms ();
 
   if (entry->ticked_ms > 0)
-    figures_note_lag (entry->figures, now - entry->ticked_ms - TICK_MS);
+    figures_note_lag (entry->stats, now - entry->ticked_ms - TICK_MS);
   entry->ticked_ms = now;
   if (now - entry->mesh_ticked_ms >= MESH_TICK_MS)
     {
@@ -306,8 +308,8 @@
           .timeout_ms = settings->timeout_ms,
           .lease_ms = settings->entry_lease_ms,
           .forget_ms = 4 * (settings->entry_lease_ms + settings->server_lease_ms),
-          .entry_heartbeat_ms = ENTRY_PACE * settings->heartbeat_ms,
-          .entry_timeout_ms = ENTRY_PACE * settings->timeout_ms };
+          .entry_heartbeat_ms = ENTRY_HEARTBEAT_FACTOR * settings->heartbeat_ms,
+          .entry_timeout_ms = ENTRY_HEARTBEAT_FACTOR * settings->timeout_ms };
 
   entry->base = base;
   entry->ops = ops;
@@ -320,12 +322,12 @@
   fill_hello (entry, settings);
   entry->mesh = mesh_new (&mesh, &mesh_ops, entry);
   mesh_seed (entry->mesh, settings->peers);
-  entry->closures = closures_new ();
-  dispatcher.closures = entry->closures;
+  entry->closed_zones = closures_new ();
+  dispatcher.closures = entry->closed_zones;
   entry->dispatcher = dispatcher_new (&dispatcher, &dispatcher_ops, entry);
   entry->tick = event_new (base, -1, EV_PERSIST, on_tick, entry);
   entry->pump = event_new (base, -1, 0, on_pump, entry);
-  entry->figures = figures_new (base);
+  entry->stats = figures_new (base);
   return entry;
 }
 
@@ -334,11 +336,11 @@
 {
   if (entry == NULL)
     return;
-  figures_free (entry->figures);
+  figures_free (entry->stats);
   listen_free (entry->frames);
   dispatcher_free (entry->dispatcher);
   mesh_free (entry->mesh);
-  closures_free (entry->closures);
+  closures_free (entry->closed_zones);
   catalog_unref (entry->catalog);
   event_free (entry->tick);
   event_free (entry->pump);
--- a/src/leased_entry.h
+++ b/src/leased_entry.h
@@ -1,7 +1,8 @@
 #pragma once
-/* An entry of leased jobs: runs its own callers' jobs on all backend servers, whose
- * agents divide the room among the entries. Entries tell each other configurations and
- * addresses, nothing else: the loss of one costs only its own callers. */
+/* Entry of the leased path: runs the jobs of its own callers on all backend servers,
+ * whose agents divide the free capacity among the entries. Entries exchange only the
+ * configuration, addresses and closed zones, so that the loss of one affects only its own
+ * callers. */
 #include "catalog.h"
 #include "closures.h"
 #include "dispatcher.h"
@@ -11,16 +12,17 @@
 
 typedef struct LeasedEntry LeasedEntry;
 
-/* What an entry needs of the platform it runs on. */
+/* Callbacks into the platform. */
 typedef struct
 {
-  /* Read a configuration that another entry passed on. Return: NULL with @error. */
+  /* Parse a configuration received from another entry. Return: NULL with @error set. */
   Catalog *(*read_catalog) (const char *source, GError **error);
-  /* Whether a configuration is coming in from the platform. */
+  /* Whether a configuration is being received from the platform. */
   gboolean (*config_arriving) (gpointer ctx);
-  /* Find other entries' addresses; leased_entry_learn () takes them. */
+  /* Look up the addresses of other entries; results go to leased_entry_learn (). */
   void (*look_up_entries) (gpointer ctx);
-  /* The balancer has had its time to notice: take no new requests, close what is idle. */
+  /* The load balancer has had time to notice that the entry drains: accept no more
+   * requests, close idle connections. */
   void (*stop_accepting) (gpointer ctx);
 } LeasedEntryOps;
 
@@ -31,32 +33,36 @@
 void leased_entry_free (LeasedEntry *entry);
 gboolean leased_entry_start (LeasedEntry *entry, GError **error);
 
-/** leased_entry_listen_address - where it listens for frames, once it has started. */
+/** leased_entry_listen_address - where the started entry listens for frames. */
 const char *leased_entry_listen_address (const LeasedEntry *entry);
 
-/** leased_entry_frame_address - where others reach it, once it has started. */
+/** leased_entry_frame_address - the address that the started entry advertises. */
 const char *leased_entry_frame_address (const LeasedEntry *entry);
 
-/** leased_entry_reload - other seeds. */
+/** leased_entry_reload - replace the seed addresses. */
 void leased_entry_reload (LeasedEntry *entry, const Settings *settings);
 
-/** leased_entry_drain - leave: what is open is finished. */
+/** leased_entry_drain - leave once the open jobs have ended or the drain limit has
+ * passed.
+ */
 void leased_entry_drain (LeasedEntry *entry);
 
-/** leased_entry_set_catalog - a configuration; an older one than known is ignored. */
+/** leased_entry_set_catalog - adopt a configuration; one that is not newer is ignored. */
 void leased_entry_set_catalog (LeasedEntry *entry, Catalog *catalog);
 
-/** leased_entry_has_config - whether that text is the configuration in force. */
+/** leased_entry_has_config - whether @source is the text of the configuration in force.
+ */
 gboolean leased_entry_has_config (const LeasedEntry *entry, const char *source);
 
-/** leased_entry_config_pending - whether the platform or an entry is sending one. */
+/** leased_entry_config_pending - whether the platform is sending a configuration or an
+ * entry was asked for one. */
 gboolean leased_entry_config_pending (const LeasedEntry *entry);
 
 /** leased_entry_catalog - the configuration in force, or NULL. */
 Catalog *leased_entry_catalog (const LeasedEntry *entry);
 
-/** leased_entry_update_zones - what the platform's table says of availability zones, as
- * for closures_apply (). */
+/** leased_entry_update_zones - apply zone states read from the platform's table;
+ * arguments as for closures_apply (). */
 void leased_entry_update_zones (LeasedEntry *entry,
                                 const ZoneChange *changes,
                                 gsize n_changes,
@@ -64,9 +70,10 @@
                                 guint64 version);
 const Closures *leased_entry_closed_zones (const LeasedEntry *entry);
 
+/** leased_entry_learn - add an address at which an entry may be reached. */
 void leased_entry_learn (LeasedEntry *entry, const char *address);
 Dispatcher *leased_entry_dispatcher (LeasedEntry *entry);
 gboolean leased_entry_draining (const LeasedEntry *entry);
 
-/** leased_entry_ready - whether the balancer should send requests. */
+/** leased_entry_ready - whether the load balancer should send requests. */
 gboolean leased_entry_ready (const LeasedEntry *entry);
--- a/src/leased_entry_config.c
+++ b/src/leased_entry_config.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "entry"
-/* What entries tell each other about the configuration: each frame says which version its
- * sender has; who is behind asks one other for it (spread.h). */
+/* Exchange of the configuration among entries: each frame carries the version that its
+ * sender has; an entry that is behind pulls the text from one other (spread.h). */
 #include "clock.h"
 #include "counters.h"
 #include "events.h"
@@ -36,19 +36,18 @@
   catalog_unref (catalog);
 }
 
-/* A copy that still waits to leave for this peer is the answer to its second question. */
+/* A repeated request is answered by the copy that is still queued on the link, if any. */
 static void
-answer_peer (LeasedEntry *entry, MeshPeer *peer)
+send_config (LeasedEntry *entry, MeshPeer *peer)
 {
   const Catalog *catalog = entry->catalog;
   gsize unsent = link_unsent (peer->link);
-  gboolean is_under_way = peer->config_sent == catalog->version && unsent > 0;
+  gboolean is_queued = peer->config_sent == catalog->version && unsent > 0;
 
   event_note ("config-asked", "-",
               "peer=%s version=%" G_GUINT64_FORMAT " bytes=%zu unsent_bytes=%zu sent=%d",
-              peer->name, catalog->version, strlen (catalog->source), unsent,
-              !is_under_way);
-  if (is_under_way)
+              peer->name, catalog->version, strlen (catalog->source), unsent, !is_queued);
+  if (is_queued)
     return;
   peer->config_sent = catalog->version;
   link_send_config (peer->link, catalog->version, "", catalog->source);
@@ -65,8 +64,8 @@
 void
 leased_entry_config_down (LeasedEntry *entry, const MeshPeer *peer)
 {
-  if (peer->config_asked_ms > 0 && peer->config_asked_ms == entry->spread.asked_ms)
-    spread_lost (&entry->spread);
+  if (peer->config_asked_ms > 0 && peer->config_asked_ms == entry->config_pull.asked_ms)
+    spread_lost (&entry->config_pull);
 }
 
 static gboolean
@@ -76,44 +75,45 @@
 }
 
 static void
-ask (LeasedEntry *entry, MeshPeer *peer, gint64 now_ms)
+pull_from (LeasedEntry *entry, MeshPeer *peer, gint64 now_ms)
 {
   event_note ("config-wanted", "-",
               "peer=%s version=%" G_GUINT64_FORMAT " own=%" G_GUINT64_FORMAT
               " behind_ms=%" G_GINT64_FORMAT,
               peer->name, peer->config_version, own_version (entry),
-              now_ms - entry->spread.behind_ms);
+              now_ms - entry->config_pull.behind_ms);
   peer->config_asked_ms = now_ms;
   peer->config_wanted = peer->config_version;
-  spread_asked (&entry->spread, now_ms);
+  spread_asked (&entry->config_pull, now_ms);
   link_touch (peer->link);
 }
 
 static void
-ask_best (LeasedEntry *entry, gint64 now_ms)
+pull_from_best (LeasedEntry *entry, gint64 now_ms)
 {
-  GArray *choices = g_array_new (FALSE, FALSE, sizeof (SpreadPeer));
+  GArray *candidates = g_array_new (FALSE, FALSE, sizeof (SpreadPeer));
   GPtrArray *peers = g_ptr_array_new ();
   int best;
 
   for (MeshPeer *peer = mesh_first (entry->mesh); peer != NULL; peer = mesh_next (peer))
     if (is_linked_entry (peer))
       {
-        SpreadPeer choice = { peer->name, peer->config_version, peer->config_asked_ms };
+        SpreadPeer candidate
+            = { peer->name, peer->config_version, peer->config_asked_ms };
 
-        g_array_append_val (choices, choice);
+        g_array_append_val (candidates, candidate);
         g_ptr_array_add (peers, peer);
       }
-  best = spread_choose ((const SpreadPeer *)choices->data, choices->len,
+  best = spread_choose ((const SpreadPeer *)candidates->data, candidates->len,
                         entry->hello.name, own_version (entry));
   if (best >= 0)
-    ask (entry, g_ptr_array_index (peers, best), now_ms);
+    pull_from (entry, g_ptr_array_index (peers, best), now_ms);
   g_ptr_array_unref (peers);
-  g_array_unref (choices);
+  g_array_unref (candidates);
 }
 
 static void
-ask_if_due (LeasedEntry *entry, gint64 now_ms)
+pull_if_due (LeasedEntry *entry, gint64 now_ms)
 {
   SpreadView view = { .own_version = own_version (entry) };
 
@@ -121,19 +121,19 @@
     if (is_linked_entry (peer))
       {
         view.heard_version = MAX (view.heard_version, peer->config_version);
-        if (peer->config_asked_ms == entry->spread.asked_ms)
+        if (peer->config_asked_ms == entry->config_pull.asked_ms)
           view.asked_heard_ms = link_heard_ms (peer->link);
       }
   view.arriving
       = view.heard_version > view.own_version && entry->ops->config_arriving (entry->ctx);
-  if (spread_due (&entry->spread, &view, now_ms))
-    ask_best (entry, now_ms);
+  if (spread_due (&entry->config_pull, &view, now_ms))
+    pull_from_best (entry, now_ms);
 }
 
 void
 leased_entry_config_tick (LeasedEntry *entry, gint64 now_ms)
 {
-  ask_if_due (entry, now_ms);
+  pull_if_due (entry, now_ms);
 }
 
 void
@@ -142,8 +142,8 @@
   if (frame->config != NULL)
     take_catalog (entry, frame->config);
   if (frame->config_wanted > 0 && frame->config_wanted <= own_version (entry))
-    answer_peer (entry, peer);
-  ask_if_due (entry, clock_now_ms ());
+    send_config (entry, peer);
+  pull_if_due (entry, clock_now_ms ());
 }
 
 void
@@ -165,8 +165,9 @@
               " queues=%u bytes=%zu behind_ms=%" G_GINT64_FORMAT,
               catalog->version, own_version (entry), catalog->queues->len,
               strlen (catalog->source),
-              entry->spread.behind_ms > 0 ? clock_now_ms () - entry->spread.behind_ms
-                                          : 0);
+              entry->config_pull.behind_ms > 0
+                  ? clock_now_ms () - entry->config_pull.behind_ms
+                  : 0);
   catalog_ref (catalog);
   catalog_unref (entry->catalog);
   entry->catalog = catalog;
@@ -182,7 +183,7 @@
 gboolean
 leased_entry_config_pending (const LeasedEntry *entry)
 {
-  return entry->spread.asked_ms > 0 || entry->ops->config_arriving (entry->ctx);
+  return entry->config_pull.asked_ms > 0 || entry->ops->config_arriving (entry->ctx);
 }
 
 Catalog *
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -1,7 +1,7 @@
 #pragma once
-/* What the parts of an entry of leased jobs share: leased_entry.c is its life and its
- * talk with agents, leased_entry_config.c what entries tell each other about the
- * configuration, leased_entry_zones.c the closed availability zones. */
+/* Shared by the entry's source files: leased_entry.c has its lifecycle and the frames to
+ * and from agents, leased_entry_config.c the exchange of the configuration among entries,
+ * leased_entry_zones.c the closed availability zones. */
 #include "closures.h"
 #include "figures.h"
 #include "leased_entry.h"
@@ -17,34 +17,35 @@
   guint64 incarnation;
   Gw__Hello hello;
   char *listen_frames;
-  char *advertised; /* where others reach it; empty: as listened */
+  char *advertised; /* address for others; empty: the listening address */
   guint drain_grace_ms;
   guint drain_limit_ms;
   Listener *frames;
   Mesh *mesh;
   Dispatcher *dispatcher;
   Catalog *catalog;
-  Spread spread;
-  Closures *closures;
+  Spread config_pull;
+  Closures *closed_zones;
   struct event *tick;
   struct event *pump;
-  Figures *figures;
+  Figures *stats;
   gint64 mesh_ticked_ms;
   gint64 ticked_ms;
-  gint64 draining_ms; /* since when; 0: not */
-  gboolean closed;    /* takes no new requests */
-  gboolean ended;     /* only the farewell is left */
+  gint64 draining_ms; /* start of draining; 0: not draining */
+  gboolean closed;    /* accepts no more requests */
+  gboolean ended;     /* the loop exits once the final frames are out */
 };
 
-/** leased_entry_send_all - send every linked entry a frame in this turn of the loop. */
+/** leased_entry_send_all - send every linked entry a frame in this event-loop iteration.
+ */
 void leased_entry_send_all (LeasedEntry *entry);
 
 /* leased_entry_zones.c */
 
-/** leased_entry_zones_frame - take what a peer says of closed zones. */
+/** leased_entry_zones_frame - apply the closed zones in a peer's frame, if any. */
 void leased_entry_zones_frame (LeasedEntry *entry, const Gw__Frame *frame);
 
-/** leased_entry_zones_prepare - put closed zones into a frame if they are news there. */
+/** leased_entry_zones_prepare - add closed zones to a frame if @peer needs an update. */
 void leased_entry_zones_prepare (LeasedEntry *entry, MeshPeer *peer, Gw__Frame *frame);
 
 /* leased_entry_config.c */
--- a/src/leased_entry_zones.c
+++ b/src/leased_entry_zones.c
@@ -1,9 +1,10 @@
-/* Closed availability zones at an entry: from the platform or a peer to the dispatcher
- * and to all other peers. */
+/* Closed availability zones at an entry: changes from the platform or a peer go to the
+ * dispatcher and to all other peers. */
 #include "clock.h"
 #include "leased_entry_parts.h"
 
-/* Agents hear this often that the table still says so. */
+/* How often agents are sent the age of an unchanged set: without a recent one they look
+ * the zones up on the platform. */
 #define CONFIRM_MS 400
 
 static void
@@ -16,15 +17,15 @@
 void
 leased_entry_zones_frame (LeasedEntry *entry, const Gw__Frame *frame)
 {
-  if (closures_hear (entry->closures, frame, clock_now_ms ()))
+  if (closures_hear (entry->closed_zones, frame, clock_now_ms ()))
     zones_changed (entry);
 }
 
 void
 leased_entry_zones_prepare (LeasedEntry *entry, MeshPeer *peer, Gw__Frame *frame)
 {
-  closures_tell (entry->closures, &peer->closures, peer->is_entry ? 0 : CONFIRM_MS, frame,
-                 clock_now_ms ());
+  closures_tell (entry->closed_zones, &peer->closures, peer->is_entry ? 0 : CONFIRM_MS,
+                 frame, clock_now_ms ());
 }
 
 void
@@ -34,7 +35,7 @@
                            gboolean whole,
                            guint64 version)
 {
-  if (closures_apply (entry->closures, changes, n_changes, whole, version,
+  if (closures_apply (entry->closed_zones, changes, n_changes, whole, version,
                       clock_now_ms ()))
     zones_changed (entry);
 }
@@ -42,5 +43,5 @@
 const Closures *
 leased_entry_closed_zones (const LeasedEntry *entry)
 {
-  return entry->closures;
+  return entry->closed_zones;
 }
