--- a/src/agent_peers.c
+++ b/src/agent_peers.c
@@ -4,11 +4,13 @@
 
 #include <string.h>
 
-/* Up to this many entries, an agent links to all: today's size. */
+/* Up to this many entries, the usual number, an agent links to all of them. */
 #define LINK_ALL_ENTRIES 4
+/* With more entries: the home and the next in rank. */
 #define LINKS_WANTED 2
 #define REDIAL_MS 300
-/* An entry that cannot be dialed for so long is forgotten; others will name it again. */
+/* An entry that is neither linked nor named for this long is forgotten; linked entries
+ * name it again if it exists. */
 #define FORGET_MS 30000
 
 typedef struct KnownEntry
@@ -18,7 +20,7 @@
   char *frame_address;
   gboolean draining;
   gint64 dialed_ms;
-  gint64 named_ms;
+  gint64 last_seen_ms;
   guint64 score;
 } KnownEntry;
 
@@ -43,7 +45,7 @@
 }
 
 static void
-known_free (AgentPeers *peers, KnownEntry *known)
+known_entry_free (AgentPeers *peers, KnownEntry *known)
 {
   TAILQ_REMOVE (&peers->entries, known, link_entry);
   g_free (known->name);
@@ -72,7 +74,7 @@
   while ((record = TAILQ_FIRST (&peers->list)) != NULL)
     agent_link_free (peers, record);
   while ((known = TAILQ_FIRST (&peers->entries)) != NULL)
-    known_free (peers, known);
+    known_entry_free (peers, known);
   g_free (peers->group);
   g_free (peers);
 }
@@ -109,7 +111,7 @@
       known->frame_address = g_strdup (frame_address);
     }
   known->draining = draining;
-  known->named_ms = clock_now_ms ();
+  known->last_seen_ms = clock_now_ms ();
 }
 
 void
@@ -195,7 +197,7 @@
   return TAILQ_FIRST (&peers->list);
 }
 
-/* A link that stands, or is being dialed. */
+/* Whether a link to the entry is up or being dialed. */
 static gboolean
 is_linked (AgentPeers *peers, const KnownEntry *known)
 {
@@ -251,12 +253,12 @@
       next = TAILQ_NEXT (known, link_entry);
       if (is_linked (peers, known))
         {
-          known->named_ms = now_ms;
+          known->last_seen_ms = now_ms;
           continue;
         }
-      if (now_ms - known->named_ms > FORGET_MS)
+      if (now_ms - known->last_seen_ms > FORGET_MS)
         {
-          known_free (peers, known);
+          known_entry_free (peers, known);
           continue;
         }
       if (now_ms - known->dialed_ms < REDIAL_MS || known->draining
