--- a/src/hedged_call.c
+++ b/src/hedged_call.c
@@ -29,8 +29,8 @@
   struct event *timer;
   TAILQ_HEAD (, Attempt) attempts;
   HedgeView view;
-  gint64 heard_ms;
-  gboolean sent; /* by an attempt that has ended: it may have been carried out */
+  gint64 last_data_ms;
+  gboolean sent; /* by a failed attempt: the server may have executed it */
 };
 
 static void
@@ -76,9 +76,9 @@
   return FALSE;
 }
 
-/* Several copies of a large answer would share the link. */
+/* Otherwise several copies of a large answer would share the link. */
 static void
-drop_unheard (HedgedCall *call)
+drop_unanswered (HedgedCall *call)
 {
   Attempt *attempt;
   Attempt *next;
@@ -92,7 +92,7 @@
 }
 
 static void
-on_heard (gpointer ctx)
+on_data (gpointer ctx)
 {
   Attempt *attempt = ctx;
   HedgedCall *call = attempt->call;
@@ -100,10 +100,10 @@
 
   attempt->is_arriving = TRUE;
   call->view.is_arriving = TRUE;
-  call->heard_ms = clock_now_ms ();
-  call->view.progress_ms = call->heard_ms;
+  call->last_data_ms = clock_now_ms ();
+  call->view.progress_ms = call->last_data_ms;
   if (is_first)
-    drop_unheard (call);
+    drop_unanswered (call);
   schedule (call);
 }
 
@@ -153,7 +153,7 @@
                     .timeout_ms = wait_ms + call->patience_ms,
                     .silence_ms = call->silence_ms,
                     .fresh = fresh,
-                    .heard = on_heard,
+                    .heard = on_data,
                     .done = on_done,
                     .ctx = attempt };
 
@@ -171,7 +171,7 @@
 {
   HedgedCall *call = ctx;
 
-  call->ops->repeated (clock_now_ms () - call->heard_ms, call->ctx);
+  call->ops->repeated (clock_now_ms () - call->last_data_ms, call->ctx);
   attempt_new (call, call->hedge_path, 0, TRUE);
 }
 
@@ -199,7 +199,7 @@
   call->patience_ms = request->patience_ms;
   call->silence_ms = request->silence_ms;
   call->timer = evtimer_new (base, on_due, call);
-  call->heard_ms = clock_now_ms ();
+  call->last_data_ms = clock_now_ms ();
   TAILQ_INIT (&call->attempts);
   attempt_new (call, call->path, call->wait_ms, FALSE);
   return call;
--- a/src/hedged_call.h
+++ b/src/hedged_call.h
@@ -1,6 +1,6 @@
 #pragma once
-/* A call that may be made more than once at the same time: the first whole answer counts.
- * Only for calls that do the same however often they are carried out. */
+/* A hedged HTTP request: several attempts may be in flight, the first complete answer is
+ * used. For idempotent requests only. */
 #include "hedge.h"
 #include "http.h"
 
@@ -8,12 +8,12 @@
 
 typedef struct
 {
-  /* An attempt ended without an answer, at its time limit or before. */
+  /* An attempt ended without an answer, by timeout or error. */
   HttpDone attempt_failed;
-  /* Another attempt is made, since nothing was heard for that long. */
+  /* Another attempt starts, after @silent_ms without a byte of an answer. */
   void (*repeated) (gint64 silent_ms, gpointer ctx);
-  /* Once: an answer, or the end of the last attempt under way; "not sent" only if none of
-   * the attempts was. */
+  /* Called once, with an answer or the end of the last attempt in flight: HTTP_NOT_SENT
+   * only if no attempt was sent. */
   HttpDone done;
 } HedgedOps;
 
@@ -21,15 +21,16 @@
 {
   enum evhttp_cmd_type method;
   const char *path;
-  const char *hedge_path; /* of further attempts; NULL: the same */
+  const char *hedge_path; /* for further attempts; NULL: @path */
   const char *const *headers;
-  const char *body;  /* NULL: none */
-  guint wait_ms;     /* the other end was asked to wait this long, by @path */
-  guint patience_ms; /* of each attempt: from its call to the answer's first byte */
-  guint silence_ms;  /* between two pieces of an answer */
+  const char *body;  /* or NULL */
+  guint wait_ms;     /* the server is asked by @path to wait this long */
+  guint patience_ms; /* timeout of each attempt to the first byte, beyond @wait_ms */
+  guint silence_ms;  /* timeout between two pieces of an answer */
 } HedgedRequest;
 
-/** hedged_call_new - @pool should bear @policy's attempts. Freed once done () returns. */
+/** hedged_call_new - start a call; @pool should have connections for all attempts of
+ * @policy. It is freed once done () returns. */
 HedgedCall *hedged_call_new (struct event_base *base,
                              HttpPool *pool,
                              const HedgePolicy *policy,
@@ -37,5 +38,5 @@
                              const HedgedOps *ops,
                              gpointer ctx);
 
-/** hedged_call_drop - end it without done (). */
+/** hedged_call_drop - cancel the call without done (). */
 void hedged_call_drop (HedgedCall *call);
