--- a/tests/test-leased-agent.c
+++ b/tests/test-leased-agent.c
@@ -1,4 +1,4 @@
-/* What an agent of leased jobs tells the entries. */
+/* The server state that an agent of the leased path sends to the entries. */
 #include "clock.h"
 #include "leased_agent_parts.h"
 
@@ -8,7 +8,7 @@
 #define CPU_MILLI 16000
 #define CALLS_MAX 16
 
-/* A server that runs nothing: what it was asked is answered by the test. */
+/* A fake server that runs nothing: the test answers its calls. */
 typedef struct
 {
   ServerCall calls[CALLS_MAX];
@@ -52,7 +52,7 @@
 static void
 answer_all (Server *server)
 {
-  guint n = server->n_calls; /* it is asked again after each answer */
+  guint n = server->n_calls; /* each answer leads to another call */
 
   while (server->n_answered < n)
     {
@@ -64,10 +64,10 @@
     }
 }
 
-/* Symptom: an entry sees a free server as full until it has asked for room; entries that
- *   did not ask placed nothing at all.
- * Sequence: a server comes to life, nobody has sent its agent an order or a wish.
- * Cause: what is free was worked out only when a run began or ended. */
+/* A fresh server must be reported as free before its agent has received any run order or
+ * resource request. Free capacity used to be computed only when a run started or ended,
+ * so entries saw the server as full, and those that sent no request placed nothing there.
+ */
 static void
 test_fresh_server_is_free (void)
 {
@@ -102,7 +102,7 @@
   g_assert_cmpuint (frame.server_state->used_by_others->cpu_milli, ==, 0);
   g_free (peer.data);
   leased_agent_close (agent);
-  answer_all (&server); /* too late to matter */
+  answer_all (&server); /* ignored after the close */
   leased_agent_free (agent);
   event_base_free (base);
 }
--- a/tests/test-peers.c
+++ b/tests/test-peers.c
@@ -1,11 +1,11 @@
-/* A real entry beside a peer that the test plays: what it takes from a peer's word on the
- * configuration's version. */
+/* A real entry and a fake peer: what the entry concludes from the configuration version
+ * that the peer reports. */
 #include "harness.h"
 #include "link.h"
 
 #include <string.h>
 
-#define PLAYED 21
+#define FAKE_PEER 21
 #define NEWER_VERSION 5
 
 typedef struct
@@ -14,8 +14,8 @@
   LinkConfig links;
   Gw__Hello hello;
   Link *link;
-  guint64 version;   /* that the played peer says it has */
-  guint64 told;      /* the entry's */
+  guint64 version; /* reported by the fake peer */
+  guint64 entry_version;
   guint body_frames; /* frames with a configuration */
 } Scene;
 
@@ -29,7 +29,7 @@
 {
   Scene *scene = ctx;
 
-  scene->told = frame->config_version;
+  scene->entry_version = frame->config_version;
   scene->body_frames += frame->config != NULL;
 }
 
@@ -45,7 +45,7 @@
   const Scene *scene = ctx;
 
   frame->config_version = scene->version;
-  /* No home of any group: jobs stay with the entry under test. */
+  /* The peer is leaving, so it is no home: jobs stay with the entry under test. */
   frame->leaving = TRUE;
 }
 
@@ -92,7 +92,7 @@
   gw__hello__init (&scene->hello);
   scene->hello.role = GW__HELLO__ROLE__ENTRY;
   scene->hello.name = (char *)"played";
-  scene->hello.incarnation = PLAYED;
+  scene->hello.incarnation = FAKE_PEER;
   scene->hello.frame_address = (char *)"127.0.0.1:9";
   scene->links.base = scene->harness->base;
   scene->links.ops = &link_ops;
@@ -113,10 +113,9 @@
   harness_free (scene->harness);
 }
 
-/* Symptom: an accepted change is lost when the store and the entry that took it go down
- *   together.
- * Sequence: the change is written; the peers have not said that they know it.
- * Cause: "accepted" said as soon as the store has it, which is the only one then. */
+/* A change must not be answered as accepted before the peers report its version. It used
+ * to be accepted once written to the store, while no peer had a copy, and was lost when
+ * the store and the entry that took it failed together. */
 static void
 test_accepted_once_known (void)
 {
@@ -130,7 +129,7 @@
   harness_wait (scene.harness, is_pushed, &scene, "the change to be pushed");
   harness_run_ms (scene.harness, 200);
   g_assert_false (exchange->done);
-  scene.version = scene.told;
+  scene.version = scene.entry_version;
   link_touch (scene.link);
   harness_wait_exchange (scene.harness, exchange);
   g_assert_cmpint (exchange->status, ==, 200);
@@ -138,10 +137,9 @@
   scene_end (&scene);
 }
 
-/* Symptom: an entry that slept through a change takes work under the old version.
- * Sequence: the store hangs, a peer says that it has a newer version, whose text has not
- *   arrived yet; a request comes.
- * Cause: all peers are heard, and that is taken for a confirmation of what is known. */
+/* An entry that missed a change must not accept jobs under the old version. The store
+ * hangs and a peer reports a newer version whose text has not arrived; frames from all
+ * peers used to be enough to count the known version as confirmed. */
 static void
 test_newer_elsewhere (void)
 {
