--- a/src/agent_peers.c
+++ b/src/agent_peers.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Up to this many entries, the usual number, an agent links to all of them. */
+/* Up to this many entries, the usual size of a deployment, an agent links to all. */
 #define LINK_ALL_ENTRIES 4
 /* With more entries: the home and the next in rank. */
 #define LINKS_WANTED 2
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 #define PROTOCOL_VERSION 1
-/* Entries linked to one agent. Each one costs a link, heartbeats and state updates; with
- * fewer links, an entry with many callers reaches less of the free capacity. */
+/* Most entries that one agent links to. Each costs a link, heartbeats and state updates;
+ * with fewer, an entry with many callers reaches less of the free capacity. */
 #define MAX_ENTRIES 16
 /* Without an update of the closed zones from any entry for ZONES_STALE_MS, the agent
  * looks them up on the platform every ZONES_LOOKUP_MS. */
@@ -95,11 +95,11 @@
 }
 
 static void
-on_no_room (guint64 entry, const Wish *wish, gpointer ctx)
+on_no_room (guint64 entry, const Wish *resources, gpointer ctx)
 {
   LeasedAgent *agent = ctx;
 
-  offers_refused (agent->offers, entry, wish, clock_now_ms ());
+  offers_refused (agent->offers, entry, resources, clock_now_ms ());
 }
 
 static const RunnerOps runner_ops
--- a/src/leased_entry.h
+++ b/src/leased_entry.h
@@ -42,16 +42,13 @@
 /** leased_entry_reload - replace the seed addresses. */
 void leased_entry_reload (LeasedEntry *entry, const Settings *settings);
 
-/** leased_entry_drain - leave once the open jobs have ended or the drain limit has
- * passed.
- */
+/** leased_entry_drain - leave once the open jobs have ended, or at the drain limit. */
 void leased_entry_drain (LeasedEntry *entry);
 
 /** leased_entry_set_catalog - adopt a configuration; one that is not newer is ignored. */
 void leased_entry_set_catalog (LeasedEntry *entry, Catalog *catalog);
 
-/** leased_entry_has_config - whether @source is the text of the configuration in force.
- */
+/** leased_entry_has_config - whether @source is the text of the current configuration. */
 gboolean leased_entry_has_config (const LeasedEntry *entry, const char *source);
 
 /** leased_entry_config_pending - whether the platform is sending a configuration or an
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -36,8 +36,7 @@
   gboolean ended;     /* the loop exits once the final frames are out */
 };
 
-/** leased_entry_send_all - send every linked entry a frame in this event-loop iteration.
- */
+/** leased_entry_send_all - send a frame to every linked entry in this loop iteration. */
 void leased_entry_send_all (LeasedEntry *entry);
 
 /* leased_entry_zones.c */
