--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -114,11 +114,11 @@
 /** dispatcher_server_clock - the agent told its time. */
 void dispatcher_server_clock (LeasedServer *server, gint64 told_ms, gint64 now_ms);
 
-/** dispatcher_server_late - so late what is sent to the agent comes there. */
-void dispatcher_server_late (LeasedServer *server, guint late_ms, gint64 now_ms);
+/** dispatcher_server_delay - so late what is sent to the agent comes there. */
+void dispatcher_server_delay (LeasedServer *server, guint late_ms, gint64 now_ms);
 
-/** dispatcher_server_granted - the agent may let runs go on until then (its clock). */
-void dispatcher_server_granted (LeasedServer *server, gint64 until_ms);
+/** dispatcher_server_lease_extended - the agent may let runs go on until then (its clock). */
+void dispatcher_server_lease_extended (LeasedServer *server, gint64 until_ms);
 
 /** dispatcher_zones_changed - an availability zone was closed or opened. */
 void dispatcher_zones_changed (Dispatcher *dispatcher);
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -87,14 +87,14 @@
 }
 
 void
-dispatcher_server_late (LeasedServer *server, guint late_ms, gint64 now_ms)
+dispatcher_server_delay (LeasedServer *server, guint late_ms, gint64 now_ms)
 {
   server->late_ms = late_ms;
   pace_hear (&server->wish_pace, late_ms, now_ms);
 }
 
 void
-dispatcher_server_granted (LeasedServer *server, gint64 until_ms)
+dispatcher_server_lease_extended (LeasedServer *server, gint64 until_ms)
 {
   server->granted_until = MAX (server->granted_until, until_ms);
 }
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -175,7 +175,7 @@
 {
   if (frame->time != NULL)
     dispatcher_server_clock (peer->data, frame->time->now_ms, clock_now_ms ());
-  dispatcher_server_late (peer->data, peer->told_late_ms, clock_now_ms ());
+  dispatcher_server_delay (peer->data, peer->told_late_ms, clock_now_ms ());
   if (frame->server_state != NULL)
     take_server_state (peer, frame->server_state);
   if (frame->n_run_reports > 0 || frame->inventory)
@@ -222,7 +222,7 @@
   leased_entry_config_prepare (entry, peer, frame);
   leased_entry_zones_prepare (entry, peer, frame);
   if (!peer->is_entry && peer->data != NULL)
-    dispatcher_server_granted (peer->data, peer->granted_until);
+    dispatcher_server_lease_extended (peer->data, peer->granted_until);
 }
 
 static void
--- a/tests/lease_world.c
+++ b/tests/lease_world.c
@@ -480,7 +480,7 @@
   message->sender_ms = clock_of (wire->entry);
   message->granted_until
       = peer_clock_least (&wire->agent_clock, clock_of (wire->entry), 0) + ENTRY_LEASE_MS;
-  dispatcher_server_granted (wire->record, message->granted_until);
+  dispatcher_server_lease_extended (wire->record, message->granted_until);
   post (wire, message, TRUE);
 }
 
--- a/tests/load_links.c
+++ b/tests/load_links.c
@@ -61,7 +61,7 @@
     return;
   known->late_here_ms = lateness (replay, event);
   if (!replay->init->deaf)
-    dispatcher_server_late (known->known, event->late_there_ms, replay->now);
+    dispatcher_server_delay (known->known, event->late_there_ms, replay->now);
 }
 
 /* The entry's heartbeat; the agent's follows when it is heard. */
--- a/tests/test-dispatcher.c
+++ b/tests/test-dispatcher.c
@@ -129,7 +129,7 @@
   scene->servers[i] = dispatcher_server_up (scene->dispatcher, 100 + i, "agent", scene);
   dispatcher_server_clock (scene->servers[i], scene->now, scene->now);
   dispatcher_reports (scene->servers[i], NULL, 0, TRUE, scene->now);
-  dispatcher_server_granted (scene->servers[i], scene->now + 450);
+  dispatcher_server_lease_extended (scene->servers[i], scene->now + 450);
   tell_trust (scene, i, TRUST_FULL);
 }
 
@@ -776,12 +776,12 @@
 {
   scene_open (scene, 4000);
   for (guint i = 0; i < SERVERS; i++)
-    dispatcher_server_late (scene->servers[i], i == 1 ? 5 : 100, scene->now);
+    dispatcher_server_delay (scene->servers[i], i == 1 ? 5 : 100, scene->now);
   submit (scene, "a", 6);
   g_assert_cmpuint (scene->n_orders, ==, 4);
   for (guint i = 0; i < scene->n_orders; i++)
     g_assert_cmpuint (scene->orders[i].server, ==, 1);
-  dispatcher_server_late (scene->servers[0], 10, scene->now);
+  dispatcher_server_delay (scene->servers[0], 10, scene->now);
   pass (scene, DISPATCHER_TICK_MS);
   g_assert_cmpuint (scene->n_orders, ==, 6);
   g_assert_cmpuint (scene->orders[5].server, ==, 0);
