--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -105,7 +105,7 @@
                                     const char *name,
                                     gpointer owner);
 void dispatcher_server_down (LeasedServer *server, gint64 now_ms);
-gpointer leased_server_owner (const LeasedServer *server);
+gpointer leased_server_user_data (const LeasedServer *server);
 
 /** dispatcher_server_status - takes @status over. */
 void dispatcher_server_status (LeasedServer *server, ServerStatus *status);
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -75,7 +75,7 @@
 }
 
 gpointer
-leased_server_owner (const LeasedServer *server)
+leased_server_user_data (const LeasedServer *server)
 {
   return server->owner;
 }
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -38,7 +38,7 @@
           gint64 valid_until_ms,
           gpointer ctx)
 {
-  MeshPeer *peer = leased_server_owner (server);
+  MeshPeer *peer = leased_server_user_data (server);
   Gw__RunOrder *order = g_new (Gw__RunOrder, 1);
 
   gw__run_order__init (order);
@@ -60,7 +60,7 @@
 static void
 on_want (LeasedServer *server, const Wish *wish, gpointer ctx)
 {
-  MeshPeer *peer = leased_server_owner (server);
+  MeshPeer *peer = leased_server_user_data (server);
   Gw__RunOrder *order = g_new (Gw__RunOrder, 1);
 
   gw__run_order__init (order);
@@ -72,7 +72,7 @@
 static void
 on_stop (LeasedServer *server, const RunKey *key, gpointer ctx)
 {
-  MeshPeer *peer = leased_server_owner (server);
+  MeshPeer *peer = leased_server_user_data (server);
   Gw__RunStop *stop = g_new (Gw__RunStop, 1);
 
   gw__run_stop__init (stop);
--- a/tests/lease_world.c
+++ b/tests/lease_world.c
@@ -211,7 +211,7 @@
           gint64 valid_until_ms,
           gpointer ctx)
 {
-  Wire *wire = leased_server_owner (server);
+  Wire *wire = leased_server_user_data (server);
 
   for (gsize i = 0; i < n; i++)
     {
@@ -230,7 +230,7 @@
 static void
 on_stop (LeasedServer *server, const RunKey *key, gpointer ctx)
 {
-  Wire *wire = leased_server_owner (server);
+  Wire *wire = leased_server_user_data (server);
 
   g_array_append_val (entry_out (wire)->stops, *key);
 }
--- a/tests/load_replay.c
+++ b/tests/load_replay.c
@@ -50,7 +50,7 @@
 {
   Entry *entry = ctx;
   Replay *replay = entry->replay;
-  Known *known = leased_server_owner (server);
+  Known *known = leased_server_user_data (server);
   gint64 arrives = link_to_agent (replay, entry, replay->init->payload_bytes);
 
   for (gsize i = 0; i < n_runs; i++)
@@ -71,7 +71,7 @@
 {
   Entry *entry = ctx;
   Replay *replay = entry->replay;
-  Known *known = leased_server_owner (server);
+  Known *known = leased_server_user_data (server);
   Event *event = event_at (replay, link_to_agent (replay, entry, WISH_BYTES),
                            EVENT_WANTED, entry, known->server);
 
@@ -83,7 +83,7 @@
 {
   Entry *entry = ctx;
   Replay *replay = entry->replay;
-  Known *known = leased_server_owner (server);
+  Known *known = leased_server_user_data (server);
   Event *event = event_at (replay, link_to_agent (replay, entry, 0), EVENT_STOPPED, entry,
                            known->server);
 
