--- a/src/dispatcher_parts.h
+++ b/src/dispatcher_parts.h
@@ -1,7 +1,7 @@
 #pragma once
 /* What the parts of the dispatcher share: dispatcher.c keeps jobs, dispatcher_servers.c
  * keeps servers and takes reports, dispatcher_order.c orders and refuses,
- * dispatcher_place.c places, dispatcher_wishes.c asks for room. */
+ * dispatcher_place.c places, dispatcher_requests.c asks for room. */
 #include "arrivals.h"
 #include "dispatcher.h"
 #include "pace.h"
@@ -169,7 +169,7 @@
 /** dispatcher_straggler - decide whether a run is worth starting anew elsewhere. */
 void dispatcher_straggler (LeasedTask *task, const TaskReport *report);
 
-/* dispatcher_wishes.c */
+/* dispatcher_requests.c */
 
 /** dispatcher_wish - what waits besides the jobs that are being placed. */
 Wish dispatcher_wish (const Dispatcher *dispatcher);
