--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -11,8 +11,8 @@
 admission~src/admission.c~s/= job->refusable$/= FALSE/~refusals by the expected wait
 arrivals~src/admission.c~s/(1 - arriving/(1 - 0 * arriving/~the wait stretched by better work that arrives
 late-service~src/admission.c~s/ *&& !can_end_by (load, &sums, i, job, job->rank_late, job->late_ms)//~admission of jobs that will be served late
-share~src/dispatcher_order.c~s/#define SHARE_FADE_MS 1000.0/#define SHARE_FADE_MS 1.0/~the part of the servers seen over a second
-unknown-share~src/dispatcher_order.c~s/#define SHARE_UNKNOWN_PART 0.2/#define SHARE_UNKNOWN_PART 0.000001/~patience of an entry that has just started
+share~src/dispatcher_order.c~s/#define SHARE_DECAY_MS 1000.0/#define SHARE_DECAY_MS 1.0/~the part of the servers seen over a second
+unknown-share~src/dispatcher_order.c~s/#define INITIAL_USE 0.2/#define INITIAL_USE 0.000001/~patience of an entry that has just started
 inrush~src/arrivals.c~s/#define INRUSH_MS 250/#define INRUSH_MS 0/~arrivals of the first moment are not counted
 side-by-side~src/offers.c~s/while ((best = best_for (offers, &rest)) != NULL)/if (offers->open->len == 0 \&\& (best = best_for (offers, \&rest)) != NULL)/~room offered to several entries at once
 offers~src/offers.c~s/^  return best;/  return NULL;/~room offered by rank
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -137,7 +137,7 @@
 mutant room-to-anyone src/offers.c 'best == NULL || goes_before (&wanting->wish, &best->wish)' \
   'best == NULL' test-offers /offers/best-rank-first
 mutant late-order-first src/dispatcher_order.c 'return rank / LATE_PART;' \
-  'return rank + RANK_NO_CHANCE / 2;' test-dispatcher /dispatcher/nearly-done-goes-before-fresh
+  'return rank + RANK_INFEASIBLE / 2;' test-dispatcher /dispatcher/nearly-done-goes-before-fresh
 mutant closed-zone-starts src/runner.c 'if (runner->zone_closed)
     return' 'if (FALSE)
     return' test-runner /runner/closed-zone-takes-nothing
--- a/src/dispatcher.c
+++ b/src/dispatcher.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* A caller that lost its connection sends its job again within this time. */
-#define RECENT_MS 5000
+/* A caller that lost its connection submits its job again within this time. */
+#define RECENT_JOB_MS 5000
 
 static const char *const end_names[] = { "completed", "failed", "refused", "given-up" };
 
@@ -17,8 +17,8 @@
   dispatcher->init = *init;
   dispatcher->ops = ops;
   dispatcher->ctx = ctx;
-  dispatcher->usual = 1;
-  dispatcher->roomy = g_ptr_array_new ();
+  dispatcher->median_slowness = 1;
+  dispatcher->candidate_servers = g_ptr_array_new ();
   TAILQ_INIT (&dispatcher->jobs);
   TAILQ_INIT (&dispatcher->servers);
   TAILQ_INIT (&dispatcher->recent);
@@ -95,7 +95,7 @@
     server_free (server);
   while ((recent = TAILQ_FIRST (&dispatcher->recent)) != NULL)
     recent_free (dispatcher, recent);
-  g_ptr_array_unref (dispatcher->roomy);
+  g_ptr_array_unref (dispatcher->candidate_servers);
   g_hash_table_unref (dispatcher->by_id);
   g_hash_table_unref (dispatcher->closing);
   g_hash_table_unref (dispatcher->recent_ids);
@@ -117,7 +117,7 @@
 }
 
 static void
-remember_answer (Dispatcher *dispatcher, const char *id)
+remember_completed (Dispatcher *dispatcher, const char *id)
 {
   RecentJob *recent;
 
@@ -131,17 +131,17 @@
 }
 
 static void
-forget_answers (Dispatcher *dispatcher)
+forget_completed (Dispatcher *dispatcher)
 {
   RecentJob *recent;
 
   while ((recent = TAILQ_FIRST (&dispatcher->recent)) != NULL
-         && dispatcher->now_ms - recent->ended_ms > RECENT_MS)
+         && dispatcher->now_ms - recent->ended_ms > RECENT_JOB_MS)
     recent_free (dispatcher, recent);
 }
 
-/* Runs of a closed job go on until their stop is reported: until then no other run of the
- * same id may begin. */
+/* Runs of a closed job go on until they are reported as stopped. Until then no run of a
+ * new job with the same id may begin. */
 static void
 job_close (LeasedJob *job)
 {
@@ -182,21 +182,21 @@
   if (job->closed)
     return;
   if (end == LEASED_COMPLETED)
-    remember_answer (job->dispatcher, job->spec.id);
+    remember_completed (job->dispatcher, job->spec.id);
   send_result (job, end, reason, retry_after_ms);
   job_close (job);
 }
 
 void
-job_release_if_over (LeasedJob *job)
+job_free_if_done (LeasedJob *job)
 {
   if (!job->closed || job->placed > 0)
     return;
   job_free (job);
 }
 
-/* What the job is for: answered within its objective it is worth most, up to three times
- * that a little, later nothing. */
+/* A job has its full value up to its objective, a small part of it up to this many times
+ * the objective, later none. */
 #define LATE_FACTOR 3
 
 static void
@@ -224,11 +224,11 @@
     {
       job->tasks[i].job = job;
       job->tasks[i].index = i;
-      job->tasks[i].waits_ms = dispatcher->now_ms;
+      job->tasks[i].waiting_since_ms = dispatcher->now_ms;
     }
   job->waiting = spec->count;
   job->task_ms = runtimes_estimate (runtimes, spec->declared_ms);
-  job->usual_work = runtimes_observe_work (
+  job->typical_work = runtimes_observe_work (
       runtimes, spec->count * job->task_ms * MAX (spec->demand.cpu_milli, 1));
   set_objective (job);
   TAILQ_INSERT_TAIL (&dispatcher->jobs, job, link);
@@ -238,8 +238,8 @@
   return job;
 }
 
-/* The caller came back over another connection: a second run beside the first would be
- * work done twice, and two runs of one task at once. */
+/* The caller reconnected and submitted the job again. A second job would run the same
+ * tasks twice, concurrently. */
 static void
 join_job (LeasedJob *job, const LeasedSpec *spec, LeasedDone done, gpointer ctx)
 {
@@ -271,7 +271,7 @@
       return job;
     }
   job = job_new (dispatcher, spec, done, ctx);
-  dispatcher_note_arrival (job);
+  dispatcher_observe_arrival (job);
   job->answered_before = g_hash_table_contains (dispatcher->recent_ids, spec->id);
   event_emit ("job-queued", spec->id,
               "queue=%s tasks=%u cpu=%u declared_ms=%u expected_ms=%.0f waiting=%u "
@@ -292,13 +292,13 @@
               "reason=\"caller has gone\" age_ms=%" G_GINT64_FORMAT " placed=%u done=%u",
               now_ms - job->spec.arrived_ms, job->placed, job->ended);
   job_close (job);
-  job_release_if_over (job);
+  job_free_if_done (job);
 }
 
-/* Nobody waits for these any more, or their answer was given before: a caller whose
- * connection broke while the answer was on its way gets the same one again. */
+/* Ends jobs past their deadline, and jobs that were answered before: a caller whose
+ * connection broke while the answer was in transit gets the same answer again. */
 static void
-end_overdue (Dispatcher *dispatcher)
+end_expired (Dispatcher *dispatcher)
 {
   LeasedJob *job;
   LeasedJob *next;
@@ -316,7 +316,7 @@
                     "its caller's time is over", 0);
       else
         continue;
-      job_release_if_over (job);
+      job_free_if_done (job);
     }
 }
 
@@ -324,18 +324,18 @@
 dispatcher_tick (Dispatcher *dispatcher, gint64 now_ms)
 {
   dispatcher->now_ms = now_ms;
-  end_overdue (dispatcher);
+  end_expired (dispatcher);
   dispatcher_check_servers (dispatcher);
-  dispatcher_note_share (dispatcher);
-  forget_answers (dispatcher);
+  dispatcher_update_share (dispatcher);
+  forget_completed (dispatcher);
   if (dispatcher->n_waiting > 0)
     {
       dispatcher_pump (dispatcher, now_ms);
-      dispatcher_refuse_crowded_out (dispatcher);
+      dispatcher_shed_load (dispatcher);
     }
-  /* Last: the refusal before tells what it was decided by. In a late tick both are due.
-   */
-  dispatcher_refuse_hopeless (dispatcher);
+  /* Last: in a late tick both refusals are due, and dispatcher_shed_load () logs the
+   * figures that it decided by. */
+  dispatcher_refuse_infeasible (dispatcher);
 }
 
 guint
--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 /* The dispatcher of an entry's leased jobs: queues them, places their tasks on backend
- * servers, runs lost tasks again and tells how each job ended. No I/O of its own:
- * messages and the time are handed in. */
+ * servers, reruns lost tasks and reports each job's result. Does no I/O: messages and the
+ * time are passed in. */
 #include "closures.h"
 #include "lease.h"
 #include "quality.h"
@@ -12,33 +12,33 @@
 typedef struct LeasedJob LeasedJob;
 typedef struct LeasedServer LeasedServer;
 
-/* What a caller asks for. Texts are copied. */
+/* A job as its caller submits it. Strings are copied. */
 typedef struct
 {
   const char *id; /* the caller's */
   const char *queue;
   const char *service;
   const char *payload;
-  const char *label; /* a backend server must carry it; empty: any */
-  const char *rack;  /* where its data is; empty: anywhere */
-  guint priority;    /* 0 first */
+  const char *label; /* required of the backend server; empty: any */
+  const char *rack;  /* label of the servers near its data; empty: any */
+  guint priority;    /* 0 is the highest */
   guint max_attempts;
-  guint count; /* tasks */
-  guint declared_ms;
+  guint count;           /* tasks */
+  guint declared_ms;     /* run time of one task */
   guint most_per_server; /* 0: no limit */
-  guint target_ms;
+  guint target_ms;       /* latency objective: this + stretch * run time */
   double stretch;
   Demand demand;      /* of one task */
   gint64 arrived_ms;  /* own clock */
-  gint64 deadline_ms; /* own clock: the caller leaves */
+  gint64 deadline_ms; /* own clock: the caller stops waiting */
 } LeasedSpec;
 
 typedef enum
 {
   LEASED_COMPLETED,
   LEASED_FAILED,
-  LEASED_REFUSED,  /* proved: nothing of it ran */
-  LEASED_GIVEN_UP, /* some of it ran */
+  LEASED_REFUSED,  /* certain that no task ran */
+  LEASED_GIVEN_UP, /* a task ran, or may have */
 } LeasedEnd;
 
 typedef struct
@@ -48,8 +48,8 @@
   guint retry_after_ms;
 } LeasedResult;
 
-/** LeasedDone - the final word on a job, once, never before dispatcher_submit ()
- * returned.
+/** LeasedDone - reports a job's final result: once, and only after dispatcher_submit ()
+ * has returned.
  */
 typedef void (*LeasedDone) (const LeasedResult *result, gpointer ctx);
 
@@ -63,67 +63,71 @@
   Demand used_by_others;
   gboolean ready;
   gboolean draining;
-  gboolean closed;  /* its availability zone is, as its agent knows */
-  gboolean offered; /* its room is kept for what was last asked for here */
+  gboolean closed;  /* its agent knows that its availability zone is closed */
+  gboolean offered; /* reserved for this entry's last resource request */
   Trust trust;
-  guint slowness_percent; /* run times against the expected ones */
+  guint slowness_percent; /* run times relative to the expected ones */
   guint failing_percent;  /* of the last runs */
 } ServerStatus;
 
 typedef struct
 {
-  /* Ask a server's agent to start runs of one job. @wish: what still waits here. */
+  /* Asks the server's agent to start runs of one job. @request: what still waits here.
+   * @valid_until_ms: agent's clock. */
   void (*order) (LeasedServer *server,
                  const LeasedSpec *spec,
                  const RunKey *runs,
                  gsize n_runs,
                  guint expected_ms,
-                 const Wish *wish,
+                 const Wish *request,
                  gint64 valid_until_ms,
                  gpointer ctx);
-  /* There was no room for what waits: ask a server's agent to offer some. */
-  void (*want) (LeasedServer *server, const Wish *wish, gpointer ctx);
+  /* Asks the server's agent to offer free capacity; a @request of 0 tasks declines. */
+  void (*request_resources) (LeasedServer *server, const Wish *request, gpointer ctx);
   void (*stop) (LeasedServer *server, const RunKey *run, gpointer ctx);
-  /* The tasks wait for a turn of dispatcher_pump (). */
+  /* Schedules a call of dispatcher_pump (). */
   void (*pump) (gpointer ctx);
 } DispatcherOps;
 
 typedef struct
 {
-  guint server_lease_ms; /* a backend server lets runs go on so long without its agent */
-  const Closures *closures; /* the owner's, read only; NULL: no zone is ever closed */
+  guint server_lease_ms; /* how long a backend server lets runs go on without its agent */
+  const Closures *closures; /* borrowed; NULL: no zone is ever closed */
 } DispatcherInit;
 
 Dispatcher *
 dispatcher_new (const DispatcherInit *init, const DispatcherOps *ops, gpointer ctx);
 void dispatcher_free (Dispatcher *dispatcher);
 
-/** dispatcher_server_up - the agent of a server is linked (again). @owner: for the ops.
+/** dispatcher_server_up - the agent of a server is linked, for the first time or again.
+ * @user_data: not NULL; for leased_server_user_data ().
  */
 LeasedServer *dispatcher_server_up (Dispatcher *dispatcher,
                                     guint64 agent,
                                     const char *name,
-                                    gpointer owner);
+                                    gpointer user_data);
 void dispatcher_server_down (LeasedServer *server, gint64 now_ms);
 gpointer leased_server_user_data (const LeasedServer *server);
 
-/** dispatcher_server_status - takes @status over. */
+/** dispatcher_server_status - the agent reports its server's state; takes @status. */
 void dispatcher_server_status (LeasedServer *server, ServerStatus *status);
 void server_status_free (ServerStatus *status);
 
-/** dispatcher_server_clock - the agent told its time. */
-void dispatcher_server_clock (LeasedServer *server, gint64 told_ms, gint64 now_ms);
+/** dispatcher_server_clock - the agent's clock showed @peer_ms when it sent. */
+void dispatcher_server_clock (LeasedServer *server, gint64 peer_ms, gint64 now_ms);
 
-/** dispatcher_server_delay - so late what is sent to the agent comes there. */
-void dispatcher_server_delay (LeasedServer *server, guint late_ms, gint64 now_ms);
+/** dispatcher_server_delay - frames sent to the agent arrive @delay_ms late. */
+void dispatcher_server_delay (LeasedServer *server, guint delay_ms, gint64 now_ms);
 
-/** dispatcher_server_lease_extended - the agent may let runs go on until then (its clock). */
+/** dispatcher_server_lease_extended - the agent may let runs go on until @until_ms, by
+ * its own clock.
+ */
 void dispatcher_server_lease_extended (LeasedServer *server, gint64 until_ms);
 
 /** dispatcher_zones_changed - an availability zone was closed or opened. */
 void dispatcher_zones_changed (Dispatcher *dispatcher);
 
-/** dispatcher_servers - servers that are linked and ready. */
+/** dispatcher_servers - number of servers that are linked and ready. */
 guint dispatcher_servers (const Dispatcher *dispatcher);
 
 typedef enum
@@ -134,7 +138,7 @@
   TASK_FAILED,
   TASK_LOST,
   TASK_STRAGGLES,
-  TASK_SERVER_ENDED, /* or fell silent, under it */
+  TASK_SERVER_ENDED, /* its server exited or stopped responding */
 } TaskEvent;
 
 typedef struct
@@ -142,15 +146,15 @@
   RunKey key;
   TaskEvent event;
   const char *reason;
-  guint remaining_ms; /* of a straggler */
-  guint elsewhere_ms; /* what it would take on another server */
-  guint run_ms;       /* of one that is done */
+  guint remaining_ms; /* TASK_STRAGGLES: expected, where it runs */
+  guint elsewhere_ms; /* TASK_STRAGGLES: expected, anew on another server */
+  guint run_ms;       /* TASK_DONE */
 } TaskReport;
 
 /**
  * dispatcher_reports - an agent reports on runs.
- * @inventory: what is not among them and was ordered before does not run there and never
- * will.
+ * @inventory: @reports is complete: an earlier order that is not listed does not run
+ * there and never will.
  */
 void dispatcher_reports (LeasedServer *server,
                          const TaskReport *reports,
@@ -161,8 +165,8 @@
 /**
  * dispatcher_submit - queue a job.
  *
- * A job with the id of one that is under way takes its place: the caller came back over
- * another connection, and the first one is told that it was given up.
+ * If a job with this id is under way, its caller has reconnected: no second job is
+ * created, the first @done is called with LEASED_GIVEN_UP and the new one replaces it.
  */
 LeasedJob *dispatcher_submit (Dispatcher *dispatcher,
                               const LeasedSpec *spec,
@@ -170,16 +174,18 @@
                               gpointer ctx,
                               gint64 now_ms);
 
-/** dispatcher_cancel - the caller has gone: stop it, no answer follows. */
+/** dispatcher_cancel - the caller disconnected: stop the job, do not call LeasedDone. */
 void dispatcher_cancel (LeasedJob *job, gint64 now_ms);
 
-/** dispatcher_pump - place what can be placed. */
+/** dispatcher_pump - place the waiting tasks that fit. */
 void dispatcher_pump (Dispatcher *dispatcher, gint64 now_ms);
 
-/** dispatcher_tick - call it every DISPATCHER_TICK_MS. */
+/** dispatcher_tick - expire, refuse and place jobs; call every DISPATCHER_TICK_MS. */
 void dispatcher_tick (Dispatcher *dispatcher, gint64 now_ms);
 #define DISPATCHER_TICK_MS 20
 
-/** dispatcher_jobs - jobs that are not answered yet or have runs to be stopped. */
+/** dispatcher_jobs - number of jobs without a result or with runs still being stopped. */
 guint dispatcher_jobs (const Dispatcher *dispatcher);
+
+/** dispatcher_waiting - number of waiting tasks. */
 guint dispatcher_waiting (const Dispatcher *dispatcher);
--- a/src/dispatcher_order.c
+++ b/src/dispatcher_order.c
@@ -1,44 +1,44 @@
 #define LOG_MODULE "dispatcher"
-/* In which order jobs go, and which are refused because their turn would come too late.
+/* The order in which jobs are placed, and refusal of those that would be placed too late.
  *
- * Answers load beyond the capacity: more arrives than the servers get done, in wide
- * urgent jobs, long jobs and many narrow ones, at several entries at once. */
+ * Made for overload: more work arrives than the servers can do, as wide urgent jobs, long
+ * jobs and many narrow ones, at several entries at once. */
 #include "admission.h"
 #include "dispatcher_parts.h"
 #include "events.h"
 
 #include <math.h>
 
-/* Priorities beyond this count alike. */
+/* Lower priorities (greater numbers) count as this one. */
 #define PRIORITY_STEPS 8
-/* What a job that misses its objective is still worth of its whole benefit to users. */
+/* Part of a job's benefit to users that is left once it misses its objective. */
 #define LATE_PART 0.2
-/* Part of a job's benefit to users that does not grow with its size. */
+/* Part of a job's benefit to users that does not depend on its size. */
 #define FLAT_PART 0.3
-/* No caller is sent away for longer, and for this long while no server is known. */
-#define RETRY_AFTER_MOST_MS 60000
+#define RETRY_AFTER_MAX_MS 60000
+/* While no server is usable. */
 #define RETRY_AFTER_UNKNOWN_MS 1000
-/* Nor for longer than this for what arrives: it is known for the last second only, and
+/* The most when load is shed: the arrival rate is known for the last second only, and
  * bursts pass. */
-#define RETRY_AFTER_CROWDED_MS 2000
+#define RETRY_AFTER_SHED_MS 2000
 
 typedef enum
 {
-  CHANCE_IN_TIME,
-  CHANCE_LATE,
-  CHANCE_NONE,
-} Chance;
+  FEASIBLE_IN_TIME,
+  FEASIBLE_LATE,
+  INFEASIBLE,
+} Feasibility;
 
-static Chance
-chance_of (const LeasedJob *job, gint64 now_ms)
+static Feasibility
+feasibility_of (const LeasedJob *job, gint64 now_ms)
 {
   double ends_ms = now_ms + job->task_ms;
 
   if (ends_ms <= job->objective_ms)
-    return CHANCE_IN_TIME;
+    return FEASIBLE_IN_TIME;
   if (ends_ms <= job->late_ms)
-    return CHANCE_LATE;
-  return CHANCE_NONE;
+    return FEASIBLE_LATE;
+  return INFEASIBLE;
 }
 
 static double
@@ -54,20 +54,20 @@
   return job->waiting * job->task_ms * MAX (job->spec.demand.cpu_milli, 1);
 }
 
-/* What a job is taken to be worth, in units of work of its queue. */
+/* In units of work, i.e. ms x thousandths of a core. */
 static double
 benefit_of (const LeasedJob *job)
 {
   double total = job->spec.count * job->task_ms * MAX (job->spec.demand.cpu_milli, 1);
-  double benefit = FLAT_PART * job->usual_work + (1 - FLAT_PART) * total;
+  double benefit = FLAT_PART * job->typical_work + (1 - FLAT_PART) * total;
 
   return benefit / (1 << MIN (job->spec.priority, PRIORITY_STEPS));
 }
 
-/* Work that waits for each unit of benefit: the least goes first. What runs already costs
- * no more, whatever becomes of the job. */
+/* Waiting work per unit of benefit. Work that already runs is left out: it is spent
+ * whether or not the rest of the job is placed. */
 static double
-rank_in_time (const LeasedJob *job)
+base_rank (const LeasedJob *job)
 {
   return waiting_work (job) / benefit_of (job);
 }
@@ -75,16 +75,16 @@
 static double
 rank_of (const LeasedJob *job, gint64 now_ms)
 {
-  double rank = rank_in_time (job);
+  double rank = base_rank (job);
 
-  switch (chance_of (job, now_ms))
+  switch (feasibility_of (job, now_ms))
     {
-    case CHANCE_IN_TIME:
+    case FEASIBLE_IN_TIME:
       return rank;
-    case CHANCE_LATE:
+    case FEASIBLE_LATE:
       return rank / LATE_PART;
-    case CHANCE_NONE:
-      return rank + RANK_NO_CHANCE;
+    case INFEASIBLE:
+      return rank + RANK_INFEASIBLE;
     }
   g_assert_not_reached ();
 }
@@ -119,7 +119,7 @@
 static gboolean
 server_is_usable (const LeasedServer *server)
 {
-  return server->owner != NULL && server->status.ready && !server->closed;
+  return server->user_data != NULL && server->status.ready && !server->closed;
 }
 
 static double
@@ -134,7 +134,7 @@
   return capacity;
 }
 
-/* When there will be room again: the work that waits, spread over all servers. */
+/* Spreads the work over all servers. */
 guint
 dispatcher_wait_ms (const Dispatcher *dispatcher)
 {
@@ -145,28 +145,28 @@
   TAILQ_FOREACH (job, &dispatcher->jobs, link)
     if (!job->closed)
       work += remaining_work (job);
-  return capacity > 0 ? (guint)MIN (work / capacity, RETRY_AFTER_MOST_MS)
+  return capacity > 0 ? (guint)MIN (work / capacity, RETRY_AFTER_MAX_MS)
                       : RETRY_AFTER_UNKNOWN_MS;
 }
 
-/* Room is handed out by rank whichever entry asks, so that over a second or so an entry
- * gets the part of the servers that its callers' work is of all. What it happens to have
- * placed now says less: an entry with little placed would take all servers for slow. */
-#define SHARE_FADE_MS 1000.0
-/* This part of the servers is taken for its own at first: outweighed by what is seen
- * after about 0.2 s. */
-#define SHARE_UNKNOWN_PART 0.2
-/* An entry to which few callers come gets this part of the servers if it needs it: its
- * jobs go by their rank like all others. By what it had lately, the second of two jobs at
- * once would be expected to wait for a second and be refused. */
-#define SHARE_LEAST 0.05
+/* Agents offer capacity by rank, whichever entry requests it. Over about a second an
+ * entry's share of the servers is therefore its callers' share of all work. What it has
+ * placed at one moment would not do: with little placed, all servers would seem slow. */
+#define SHARE_DECAY_MS 1000.0
+/* Part of the capacity that this entry is assumed to use after a start, and the others
+ * none; observed use outweighs it after about 0.2 s. */
+#define INITIAL_USE 0.2
+/* Least share assumed: an entry with few callers gets this much when it needs it, as its
+ * jobs are ranked like all others. By its recent use alone, the second of two concurrent
+ * jobs would be expected to wait a second and be refused. */
+#define SHARE_MIN 0.05
 
 void
-dispatcher_note_share (Dispatcher *dispatcher)
+dispatcher_update_share (Dispatcher *dispatcher)
 {
   const LeasedServer *server;
   double passed_ms = (double)(dispatcher->now_ms - dispatcher->share_ms);
-  double weight = 1 - exp (-passed_ms / SHARE_FADE_MS);
+  double weight = 1 - exp (-passed_ms / SHARE_DECAY_MS);
   double own = 0;
   double all = 0;
 
@@ -178,17 +178,17 @@
       all += server->placed.cpu_milli + server->status.used_by_others.cpu_milli;
     }
   dispatcher->share_ms = dispatcher->now_ms;
-  /* What the others get is not known yet. Taken for all that there is, they would leave a
-   * restarted entry no room, and its first callers would be refused. */
+  /* The other entries' shares are not known yet. If they were assumed to use everything,
+   * the first callers of a restarted entry would be refused. */
   if (dispatcher->used_by_all <= 0)
     dispatcher->used_here = dispatcher->used_by_all
-        = SHARE_UNKNOWN_PART * capacity_of_servers (dispatcher);
+        = INITIAL_USE * capacity_of_servers (dispatcher);
   dispatcher->used_here += weight * (own - dispatcher->used_here);
   dispatcher->used_by_all += weight * (all - dispatcher->used_by_all);
 }
 
-/* Work that this entry's runs get done in a millisecond under load. Of servers that
- * cannot be reached nothing is known: while none can, nobody is refused. */
+/* Work that this entry's runs get done per ms under load. 0 while no server is usable, so
+ * that no load is shed: nothing is known of servers that cannot be reached. */
 static double
 rate_of_work (const Dispatcher *dispatcher)
 {
@@ -197,16 +197,17 @@
   if (dispatcher->used_by_all <= 0)
     return 0;
   share = dispatcher->used_here / dispatcher->used_by_all;
-  return capacity_of_servers (dispatcher) * MAX (share, SHARE_LEAST);
+  return capacity_of_servers (dispatcher) * MAX (share, SHARE_MIN);
 }
 
-/* Servers are linked one by one after a start: until all are, some other may be open. */
+/* After a start servers are linked one by one: for this long after each, a server in an
+ * open zone may follow. */
 #define LINKING_MS 500
-/* How long a zone stays closed is the operator's business. */
+/* When the zone opens again is up to the operator and not known here. */
 #define RETRY_AFTER_CLOSED_MS 2000
 
 static gboolean
-is_closed_out (const Dispatcher *dispatcher, const LeasedJob *job)
+needs_closed_zone (const Dispatcher *dispatcher, const LeasedJob *job)
 {
   const LeasedServer *server;
   gboolean closed = FALSE;
@@ -224,7 +225,7 @@
 }
 
 void
-dispatcher_refuse_closed_out (Dispatcher *dispatcher)
+dispatcher_refuse_zone_closed (Dispatcher *dispatcher)
 {
   LeasedJob *job;
   LeasedJob *next;
@@ -236,12 +237,12 @@
     {
       next = TAILQ_NEXT (job, link);
       if (job->closed || job->answered_before || job->placed > 0
-          || !is_closed_out (dispatcher, job))
+          || !needs_closed_zone (dispatcher, job))
         continue;
       job_answer (job, job->started ? LEASED_GIVEN_UP : LEASED_REFUSED,
                   "the availability zones of its servers are closed",
                   RETRY_AFTER_CLOSED_MS);
-      job_release_if_over (job);
+      job_free_if_done (job);
     }
 }
 
@@ -252,11 +253,11 @@
 }
 
 void
-dispatcher_note_arrival (LeasedJob *job)
+dispatcher_observe_arrival (LeasedJob *job)
 {
   Dispatcher *dispatcher = job->dispatcher;
 
-  arrivals_observe (&dispatcher->arrivals, rank_in_time (job), waiting_work (job),
+  arrivals_observe (&dispatcher->arrivals, base_rank (job), waiting_work (job),
                     dispatcher->now_ms);
   dispatcher->arrived = TRUE;
 }
@@ -264,60 +265,60 @@
 static AdmissionJob
 admission_job (const LeasedJob *job)
 {
-  AdmissionJob asks = { .rank = job->rank,
-                        .rank_kept = rank_in_time (job),
-                        .rank_late = rank_in_time (job) / LATE_PART,
-                        .work = waiting_work (job),
-                        .task_ms = job->task_ms,
-                        .objective_ms = job->objective_ms,
-                        .late_ms = job->late_ms,
-                        .refusable = nothing_ordered (job) };
-
-  return asks;
+  AdmissionJob admission = { .rank = job->rank,
+                             .rank_kept = base_rank (job),
+                             .rank_late = base_rank (job) / LATE_PART,
+                             .work = waiting_work (job),
+                             .task_ms = job->task_ms,
+                             .objective_ms = job->objective_ms,
+                             .late_ms = job->late_ms,
+                             .refusable = nothing_ordered (job) };
+
+  return admission;
 }
 
 static void
-refuse_crowded_out (LeasedJob *job, const AdmissionLoad *load, const AdmissionJob *asks)
+shed_job (LeasedJob *job, const AdmissionLoad *load, const AdmissionJob *admission)
 {
   event_note ("job-crowded-out", job->spec.id,
               "work_ahead=%.0f rate=%.0f arriving=%.0f wait_ms=%.0f task_ms=%.0f "
               "objective_left_ms=%" G_GINT64_FORMAT " age_ms=%" G_GINT64_FORMAT,
-              asks->ahead, load->rate,
-              arrivals_before (load->arrivals, asks->rank_late, load->now_ms),
-              asks->wait_ms, job->task_ms, job->objective_ms - load->now_ms,
+              admission->ahead, load->rate,
+              arrivals_before (load->arrivals, admission->rank_late, load->now_ms),
+              admission->wait_ms, job->task_ms, job->objective_ms - load->now_ms,
               load->now_ms - job->spec.arrived_ms);
   job_answer (job, LEASED_REFUSED, "more urgent work takes all room",
-              (guint)MIN (asks->wait_ms, RETRY_AFTER_CROWDED_MS));
-  job_release_if_over (job);
+              (guint)MIN (admission->wait_ms, RETRY_AFTER_SHED_MS));
+  job_free_if_done (job);
 }
 
 void
-dispatcher_refuse_crowded_out (Dispatcher *dispatcher)
+dispatcher_shed_load (Dispatcher *dispatcher)
 {
   AdmissionLoad load = { rate_of_work (dispatcher), capacity_of_servers (dispatcher),
                          &dispatcher->arrivals, dispatcher->now_ms };
   GPtrArray *jobs;
-  AdmissionJob *asks;
+  AdmissionJob *admissions;
 
   dispatcher->arrived = FALSE;
   if (load.rate <= 0)
     return;
   jobs = dispatcher_order (dispatcher);
-  asks = g_new (AdmissionJob, jobs->len);
+  admissions = g_new (AdmissionJob, jobs->len);
   for (guint i = 0; i < jobs->len; i++)
-    asks[i] = admission_job (g_ptr_array_index (jobs, i));
-  admission_decide (&load, asks, jobs->len);
+    admissions[i] = admission_job (g_ptr_array_index (jobs, i));
+  admission_decide (&load, admissions, jobs->len);
   for (guint i = 0; i < jobs->len; i++)
-    if (asks[i].refused)
-      refuse_crowded_out (g_ptr_array_index (jobs, i), &load, &asks[i]);
-  g_free (asks);
+    if (admissions[i].refused)
+      shed_job (g_ptr_array_index (jobs, i), &load, &admissions[i]);
+  g_free (admissions);
   g_ptr_array_unref (jobs);
 }
 
-/* What cannot end while it is of use is refused now rather than when its time is over:
- * its caller can go elsewhere, and its place is free for what can. */
+/* Refuses a job as soon as it is infeasible rather than at its deadline, so that its
+ * caller can go elsewhere and feasible jobs take its place. */
 void
-dispatcher_refuse_hopeless (Dispatcher *dispatcher)
+dispatcher_refuse_infeasible (Dispatcher *dispatcher)
 {
   LeasedJob *job;
   LeasedJob *next;
@@ -326,13 +327,13 @@
     {
       next = TAILQ_NEXT (job, link);
       if (job->closed || job->placed > 0
-          || chance_of (job, dispatcher->now_ms) != CHANCE_NONE)
+          || feasibility_of (job, dispatcher->now_ms) != INFEASIBLE)
         continue;
       if (!job->started)
         job_answer (job, LEASED_REFUSED, "cannot end in time",
                     dispatcher_wait_ms (dispatcher));
       else if (dispatcher->now_ms + job->task_ms > job->spec.deadline_ms)
         job_answer (job, LEASED_GIVEN_UP, "lost runs cannot be repeated in time", 0);
-      job_release_if_over (job);
+      job_free_if_done (job);
     }
 }
--- a/src/dispatcher_parts.h
+++ b/src/dispatcher_parts.h
@@ -1,7 +1,7 @@
 #pragma once
-/* What the parts of the dispatcher share: dispatcher.c keeps jobs, dispatcher_servers.c
- * keeps servers and takes reports, dispatcher_order.c orders and refuses,
- * dispatcher_place.c places, dispatcher_requests.c asks for room. */
+/* Private to the dispatcher. dispatcher.c: jobs; dispatcher_servers.c: servers and their
+ * reports; dispatcher_order.c: order and refusal; dispatcher_place.c: placement;
+ * dispatcher_requests.c: resource requests. */
 #include "arrivals.h"
 #include "dispatcher.h"
 #include "pace.h"
@@ -11,7 +11,7 @@
 
 typedef enum
 {
-  TASK_WAITS,
+  TASK_WAITING,
   TASK_PLACED, /* ordered, perhaps running */
   TASK_ENDED,
 } TaskState;
@@ -21,12 +21,12 @@
   TAILQ_ENTRY (LeasedTask) on_server; /* while placed */
   LeasedJob *job;
   guint index;
-  guint run; /* number of its last start */
+  guint run; /* number of its last run, from 1 */
   guint failures;
-  guint servers_ended; /* under it */
-  Demand taken;        /* of its server, while placed */
-  LeasedServer *avoid; /* where it failed last */
-  gint64 waits_ms;     /* since when it waits */
+  guint servers_ended; /* while they ran it */
+  Demand reserved;     /* on its server, while placed */
+  LeasedServer *avoid; /* where it last failed or straggled */
+  gint64 waiting_since_ms;
   TaskState state;
   LeasedServer *server;
   gint64 placed_ms;
@@ -39,21 +39,21 @@
 {
   TAILQ_ENTRY (LeasedJob) link;
   Dispatcher *dispatcher;
-  LeasedSpec spec; /* with copies of the texts */
+  LeasedSpec spec; /* owns its strings */
   LeasedDone done;
   gpointer ctx;
   LeasedTask *tasks;
   guint waiting;
   guint placed;
   guint ended;
-  gboolean started; /* a run of it began, or may have */
-  gboolean answered_before;
-  gboolean closed; /* answered or cancelled: only runs that are being stopped are left */
+  gboolean started;         /* one of its runs began, or may have */
+  gboolean answered_before; /* completed less than RECENT_JOB_MS before it was queued */
+  gboolean closed; /* answered or cancelled, but perhaps with runs still being stopped */
   double task_ms;  /* expected run time of one task */
   gint64 objective_ms;
-  gint64 late_ms;    /* no use to its caller after this */
-  double usual_work; /* of a job of its queue, ms x thousandths of a core */
-  double rank;
+  gint64 late_ms;      /* useless to its caller after this */
+  double typical_work; /* of a job of its queue, in ms x thousandths of a core */
+  double rank;         /* lowest first */
 };
 
 struct LeasedServer
@@ -62,23 +62,24 @@
   Dispatcher *dispatcher;
   guint64 agent;
   char *name;
-  gpointer owner; /* NULL while its agent is not linked */
+  gpointer user_data; /* NULL while its agent is not linked */
   ServerStatus status;
   PeerClock clock;
-  gint64 granted_until; /* agent's clock */
-  gint64 hold_until_ms; /* nothing is placed before this time */
-  guint late_ms;        /* so late orders come there */
-  Pace wish_pace;       /* of asking for room */
-  gint64 wanted_ms;     /* when room was last asked for */
-  double wanted_rank;   /* of the job that it was asked for */
+  gint64 lease_until;      /* agent's clock */
+  gint64 backoff_until_ms; /* nothing is placed before this */
+  guint delay_ms;          /* of frames sent to its agent */
+  Pace request_throttle;
+  gint64 requested_ms;   /* when the last resource request was sent */
+  double requested_rank; /* of the job in that request */
   Demand placed;
   guint n_placed;
   TAILQ_HEAD (, LeasedTask) tasks;
-  gboolean inventoried;
-  gboolean closed; /* nothing starts in its availability zone */
+  gboolean inventoried; /* its inventory has arrived over this link */
+  gboolean closed;      /* its availability zone is */
 };
 
-/* A job that ended a short while ago, for a caller that did not get the answer. */
+/* A job that completed less than RECENT_JOB_MS ago: its caller may not have received the
+ * answer and submit it again. */
 typedef struct RecentJob
 {
   TAILQ_ENTRY (RecentJob) link;
@@ -99,27 +100,27 @@
   GHashTable *recent_ids;
   GHashTable *runtimes; /* queue -> Runtimes */
   guint n_jobs;
-  guint n_waiting;      /* tasks */
-  gboolean trust_all;   /* too many servers are distrusted: the fault is in the tasks */
-  gboolean saves_bytes; /* the own link is full */
-  guint n_open;         /* servers that take orders */
-  double wait_ms;       /* about how long a task waits for room */
-  GPtrArray *ordered;   /* jobs that wait, while they are placed */
-  GPtrArray *roomy;     /* servers that may take one of them */
+  guint n_waiting;    /* tasks */
+  gboolean trust_all; /* too many servers are distrusted: the fault is in the tasks */
+  gboolean link_congested;      /* the entry's own link is */
+  guint n_open;                 /* servers that take orders */
+  double wait_ms;               /* estimated wait of a task for free capacity */
+  GPtrArray *ordered;           /* waiting jobs by rank, during dispatcher_pump () */
+  GPtrArray *candidate_servers; /* that may take one of their tasks */
   Arrivals arrivals;
-  double used_here; /* thousandths of a core that own runs take, lately */
+  double used_here; /* thousandths of a core of own runs, decaying by SHARE_DECAY_MS */
   double used_by_all;
-  gint64 share_ms;  /* when these were last brought up to date */
+  gint64 share_ms;  /* when these were last updated */
   guint n_closed;   /* linked servers in closed availability zones */
   gint64 linked_ms; /* when a server was last linked */
-  gboolean arrived; /* a job, since admission was last decided */
-  double usual;     /* slowness of the usual server */
+  gboolean arrived; /* a job, since dispatcher_shed_load () */
+  double median_slowness;
   gint64 now_ms;
 };
 
 /* dispatcher.c */
 void job_answer (LeasedJob *job, LeasedEnd end, const char *reason, guint retry_after_ms);
-void job_release_if_over (LeasedJob *job);
+void job_free_if_done (LeasedJob *job);
 Runtimes *dispatcher_runtimes (Dispatcher *dispatcher, const char *queue);
 
 /* dispatcher_servers.c */
@@ -129,59 +130,61 @@
 
 /* dispatcher_order.c */
 
-/* Rank of a job that cannot be of use any more: after all others. */
-#define RANK_NO_CHANCE 1e15
+/* Added to the rank of a job that is infeasible: it goes after all others. */
+#define RANK_INFEASIBLE 1e15
 
-/** dispatcher_order - the jobs that wait, best first. Free the array. */
+/** dispatcher_order - the waiting jobs, lowest rank first. Return: to be freed. */
 GPtrArray *dispatcher_order (Dispatcher *dispatcher);
 
-/** dispatcher_wait_ms - until what waits here has been done, about. */
+/** dispatcher_wait_ms - estimated time in ms to finish all work that is here. */
 guint dispatcher_wait_ms (const Dispatcher *dispatcher);
 
-/** dispatcher_refuse_hopeless - end what could not be of use even if it began now. */
-void dispatcher_refuse_hopeless (Dispatcher *dispatcher);
+/** dispatcher_refuse_infeasible - end jobs that would be useless even if started now. */
+void dispatcher_refuse_infeasible (Dispatcher *dispatcher);
 
-/** dispatcher_refuse_closed_out - end what only servers in closed zones could run. */
-void dispatcher_refuse_closed_out (Dispatcher *dispatcher);
+/** dispatcher_refuse_zone_closed - end jobs that only servers in closed availability
+ * zones could run.
+ */
+void dispatcher_refuse_zone_closed (Dispatcher *dispatcher);
 
-/** dispatcher_note_arrival - a job has been queued. */
-void dispatcher_note_arrival (LeasedJob *job);
+/** dispatcher_observe_arrival - count a newly queued job. */
+void dispatcher_observe_arrival (LeasedJob *job);
 
-/** dispatcher_note_share - learn what part of the servers this entry's jobs get. */
-void dispatcher_note_share (Dispatcher *dispatcher);
+/** dispatcher_update_share - update this entry's share of the servers' capacity. */
+void dispatcher_update_share (Dispatcher *dispatcher);
 
-/** dispatcher_refuse_crowded_out - end what the work before it leaves too little time. */
-void dispatcher_refuse_crowded_out (Dispatcher *dispatcher);
+/** dispatcher_shed_load - refuse jobs to which the work ahead leaves too little time. */
+void dispatcher_shed_load (Dispatcher *dispatcher);
 
 /* dispatcher_place.c */
 
-/* A task under which so many servers have ended runs alone on the next one. */
-#define SERVERS_ENDED_ALONE 2
+/* After this many servers ended while they ran a task, it runs alone on the next one. */
+#define SERVERS_ENDED_ISOLATE 2
 
 gboolean server_has_label (const LeasedServer *server, const char *label);
 
-/** server_is_open - it takes orders, room aside. */
+/** server_is_open - it takes orders, if it has free capacity. */
 gboolean server_is_open (const LeasedServer *server);
 
-/** server_is_trusted - one run at a time on one that has just failed or stood still. */
+/** server_is_trusted - its trust level allows another run. */
 gboolean server_is_trusted (const LeasedServer *server);
 
-/** dispatcher_straggler - decide whether a run is worth starting anew elsewhere. */
-void dispatcher_straggler (LeasedTask *task, const TaskReport *report);
+/** dispatcher_handle_straggler - stop a slow run if it ends sooner on another server. */
+void dispatcher_handle_straggler (LeasedTask *task, const TaskReport *report);
 
 /* dispatcher_requests.c */
 
-/** dispatcher_wish - what waits besides the jobs that are being placed. */
-Wish dispatcher_wish (const Dispatcher *dispatcher);
+/** dispatcher_resource_request - for the first job that still waits during placement. */
+Wish dispatcher_resource_request (const Dispatcher *dispatcher);
 
-/** server_note_wish - its agent is being told. */
-void server_note_wish (LeasedServer *server, const Wish *wish);
+/** server_note_resource_request - record that @request is sent to its agent. */
+void server_note_resource_request (LeasedServer *server, const Wish *request);
 
-/** server_is_offered_for_better - its room is kept for something better than @rank. */
+/** server_is_offered_for_better - it is reserved for a job of lower rank than @rank. */
 gboolean server_is_offered_for_better (const LeasedServer *server, double rank);
 
-/** dispatcher_send_wishes - ask for room for @jobs, best first. */
-void dispatcher_send_wishes (Dispatcher *dispatcher, GPtrArray *jobs);
+/** dispatcher_send_resource_requests - request capacity for @jobs, lowest rank first. */
+void dispatcher_send_resource_requests (Dispatcher *dispatcher, GPtrArray *jobs);
 
-/** dispatcher_decline_offers - nothing waits: room is kept here for nothing. */
+/** dispatcher_decline_offers - nothing waits: release what is reserved for this entry. */
 void dispatcher_decline_offers (Dispatcher *dispatcher);
--- a/src/dispatcher_place.c
+++ b/src/dispatcher_place.c
@@ -5,28 +5,29 @@
 
 #include <string.h>
 
-/* An order that is older than this when the agent reads it is refused there. */
+/* An agent refuses an order that is older than this when it arrives. */
 #define ORDER_VALID_MS 250
-/* While orders come this late, no more are sent there: they would wait behind those that
- * do, be refused as too old, and be sent again. */
-#define ORDER_LATE_MS 60
-/* Below this a server's run times are within what tasks differ among themselves. */
+/* No orders are sent to a server while frames to it are delayed this much: they would
+ * queue behind the earlier ones, be refused as too old and be sent again. */
+#define ORDER_DELAY_MAX_MS 60
+/* Run times up to this factor are within the variation between tasks. */
 #define SLOWNESS_NORMAL 1.6
-/* A slot elsewhere that frees this much sooner is not worth waiting for. */
+/* Waiting for another server is not worth a gain of less than this. */
 #define SLOW_SLACK_MS 20
-/* A task keeps away from the server where it failed or hung for this long; if there is no
- * other, its job would wait there for nothing. */
+/* How long a task avoids the server where it failed or hung. Bounded, since there may be
+ * no other server. */
 #define AVOID_MS 100
-/* An agent says more than this of a run that makes no progress. */
+/* An agent reports at least this as remaining time of a run that makes no progress. */
 #define STALLED_MS 30000
-/* A straggler is started anew only if that is expected to gain this much. */
+/* Expected gain required to restart a straggler. */
 #define STRAGGLER_GAIN_MS 40
-/* What is sent to more than this share of the servers came late: it is the own link that
- * is full. Tasks of a job that start together then go to one server, with one order and
- * one payload, unless another is less slow or fails less. */
-#define LATE_SHARE 0.1
-#define TOGETHER_GAIN 0.02
-/* Beyond this share of distrusted servers the fault is taken to be in the tasks. */
+/* If frames to more than this share of the servers are delayed, the entry's own link is
+ * congested. Tasks of a job that start together then go to one server, with one order and
+ * one payload, unless another server is less slow or fails less. */
+#define CONGESTED_SHARE 0.1
+#define COLOCATION_GAIN 0.02
+/* Above this share of distrusted servers the fault is taken to be in the tasks, and trust
+ * levels are ignored. */
 #define DISTRUSTED_SHARE 0.34
 
 gboolean
@@ -49,16 +50,18 @@
   return n;
 }
 
-/* Against its peers: if all take longer than expected, the estimates are wrong. */
+/* Relative to the median server: if all are slow, the estimates are wrong. */
 static double
 slowness_of (const LeasedServer *server)
 {
-  double slowness = server->status.slowness_percent / 100.0 / server->dispatcher->usual;
+  double slowness
+      = server->status.slowness_percent / 100.0 / server->dispatcher->median_slowness;
 
   return slowness > SLOWNESS_NORMAL ? slowness : 1;
 }
 
-/* One run at a time on a server that has just failed or stood still. */
+/* Trust levels are a circuit breaker: TRUST_PROBE allows one run, on a server that is
+ * otherwise idle, TRUST_NONE allows none. */
 gboolean
 server_is_trusted (const LeasedServer *server)
 {
@@ -78,9 +81,10 @@
 gboolean
 server_is_open (const LeasedServer *server)
 {
-  return server->owner != NULL && server->inventoried && server->status.ready
-         && !server->status.draining && !server->closed && server->late_ms < ORDER_LATE_MS
-         && server->dispatcher->now_ms >= server->hold_until_ms;
+  return server->user_data != NULL && server->inventoried && server->status.ready
+         && !server->status.draining && !server->closed
+         && server->delay_ms < ORDER_DELAY_MAX_MS
+         && server->dispatcher->now_ms >= server->backoff_until_ms;
 }
 
 static gboolean
@@ -95,10 +99,10 @@
 static gboolean
 runs_alone (const LeasedTask *task)
 {
-  return task->servers_ended >= SERVERS_ENDED_ALONE;
+  return task->servers_ended >= SERVERS_ENDED_ISOLATE;
 }
 
-/* What the task takes there: a task that runs alone takes all. */
+/* A task that must run alone reserves the whole server. */
 static Demand
 demand_on (const LeasedTask *task, const LeasedServer *server)
 {
@@ -117,7 +121,7 @@
 static gboolean
 is_suitable (const LeasedServer *server, const LeasedJob *job, const LeasedTask *task)
 {
-  gint64 waited_ms = server->dispatcher->now_ms - task->waits_ms;
+  gint64 waited_ms = server->dispatcher->now_ms - task->waiting_since_ms;
   double lost_ms = (slowness_of (server) - 1) * job->task_ms;
 
   if (!fits (server, task) || !server_is_trusted (server)
@@ -126,8 +130,8 @@
       || strcmp (server->status.service, job->spec.service) != 0
       || !server_has_label (server, job->spec.label))
     return FALSE;
-  /* With a slow server free and all others busy, waiting a little ends sooner; after as
-   * much waiting as it would cost, nothing better is to be expected. */
+  /* If only a slow server is free, waiting for another one may end the task sooner. Once
+   * the task has waited as long as the slow server would cost it, it is placed there. */
   if (lost_ms > server->dispatcher->wait_ms + waited_ms + SLOW_SLACK_MS)
     return FALSE;
   return job->spec.most_per_server == 0
@@ -155,21 +159,21 @@
              : 0;
 }
 
-/* Under load nearly all servers are full: they are passed over once, not for each task
- * that waits. Placing only takes room away. */
+/* Skips full servers once for all waiting tasks, as under load nearly all are full.
+ * Placement only reduces free capacity, so none of them can become a candidate. */
 static void
-gather_roomy (Dispatcher *dispatcher, guint least_cpu)
+gather_candidate_servers (Dispatcher *dispatcher, guint min_cpu)
 {
   LeasedServer *server;
 
-  g_ptr_array_set_size (dispatcher->roomy, 0);
+  g_ptr_array_set_size (dispatcher->candidate_servers, 0);
   TAILQ_FOREACH (server, &dispatcher->servers, link)
-    if (server_is_open (server) && free_cpu (server) >= least_cpu)
-      g_ptr_array_add (dispatcher->roomy, server);
+    if (server_is_open (server) && free_cpu (server) >= min_cpu)
+      g_ptr_array_add (dispatcher->candidate_servers, server);
 }
 
 static guint
-least_cpu_of (GPtrArray *jobs)
+min_cpu_of (GPtrArray *jobs)
 {
   guint least = G_MAXUINT;
 
@@ -182,8 +186,8 @@
   return least;
 }
 
-/* Of those that gather_roomy () has found. @chosen: servers that get tasks of the job in
- * this turn; NULL: none. */
+/* Chooses among the candidate servers. @chosen: servers that got tasks of the job in this
+ * placement; may be NULL. */
 static LeasedServer *
 choose_server (Dispatcher *dispatcher,
                const LeasedJob *job,
@@ -193,17 +197,17 @@
   LeasedServer *best = NULL;
   double best_cost = 0;
 
-  for (guint i = 0; i < dispatcher->roomy->len; i++)
+  for (guint i = 0; i < dispatcher->candidate_servers->len; i++)
     {
-      LeasedServer *server = g_ptr_array_index (dispatcher->roomy, i);
+      LeasedServer *server = g_ptr_array_index (dispatcher->candidate_servers, i);
       double cost;
 
       if (!is_suitable (server, job, task))
         continue;
       cost = cost_of (server, job);
-      if (dispatcher->saves_bytes && chosen != NULL
+      if (dispatcher->link_congested && chosen != NULL
           && g_ptr_array_find (chosen, server, NULL))
-        cost -= TOGETHER_GAIN;
+        cost -= COLOCATION_GAIN;
       if (best != NULL && cost >= best_cost)
         continue;
       best = server;
@@ -226,17 +230,17 @@
   task->ordered = FALSE;
   TAILQ_INSERT_TAIL (&server->tasks, task, on_server);
   server->n_placed++;
-  task->taken = demand_on (task, server);
-  demand_add (&server->placed, &task->taken);
+  task->reserved = demand_on (task, server);
+  demand_add (&server->placed, &task->reserved);
   job->placed++;
   job->waiting--;
   dispatcher->n_waiting--;
 }
 
-/* Return: how many tasks of the job that go to this server and are not ordered yet take
- * @taken each. */
+/* Marks the job's tasks placed on @server that reserve @reserved each as ordered.
+ * Return: the number of @runs filled in. */
 static gsize
-note_ordered (LeasedJob *job, LeasedServer *server, const Demand *taken, RunKey *runs)
+mark_ordered (LeasedJob *job, LeasedServer *server, const Demand *reserved, RunKey *runs)
 {
   gsize n = 0;
 
@@ -245,7 +249,7 @@
       LeasedTask *task = &job->tasks[i];
 
       if (task->server != server || task->ordered
-          || memcmp (&task->taken, taken, sizeof *taken) != 0)
+          || memcmp (&task->reserved, reserved, sizeof *reserved) != 0)
         continue;
       task->ordered = TRUE;
       g_strlcpy (runs[n].job, job->spec.id, sizeof runs[n].job);
@@ -256,19 +260,19 @@
   return n;
 }
 
-/* One message for all tasks of the job that go to this server and take as much. */
+/* Sends one order for the job's tasks placed on @server that reserve @reserved each. */
 static void
-send_order (LeasedJob *job, LeasedServer *server, const Demand *taken)
+send_order (LeasedJob *job, LeasedServer *server, const Demand *reserved)
 {
   Dispatcher *dispatcher = job->dispatcher;
   RunKey *runs = g_new (RunKey, job->spec.count);
-  gsize n = note_ordered (job, server, taken, runs);
+  gsize n = mark_ordered (job, server, reserved, runs);
   LeasedSpec spec = job->spec;
-  Wish wish = dispatcher_wish (dispatcher);
+  Wish request = dispatcher_resource_request (dispatcher);
 
   if (n == 0)
     goto out;
-  spec.demand = *taken;
+  spec.demand = *reserved;
   histogram_observe (HISTOGRAM_PLACING, dispatcher->now_ms - job->spec.arrived_ms);
   event_emit ("job-placed", job->spec.id,
               "agent=%s tasks=%" G_GSIZE_FORMAT " waited_ms=%" G_GINT64_FORMAT
@@ -276,11 +280,11 @@
               server->name, n, dispatcher->now_ms - job->spec.arrived_ms,
               server->placed.cpu_milli, server->status.slowness_percent / 100.0,
               dispatcher->n_waiting);
-  dispatcher->ops->order (server, &spec, runs, n, (guint)MAX (job->task_ms, 1), &wish,
+  dispatcher->ops->order (server, &spec, runs, n, (guint)MAX (job->task_ms, 1), &request,
                           peer_clock_least (&server->clock, dispatcher->now_ms, 0)
                               + ORDER_VALID_MS,
                           dispatcher->ctx);
-  server_note_wish (server, &wish);
+  server_note_resource_request (server, &request);
 
 out:
   g_free (runs);
@@ -307,7 +311,7 @@
     {
       LeasedServer *server;
 
-      if (job->tasks[i].state != TASK_WAITS)
+      if (job->tasks[i].state != TASK_WAITING)
         continue;
       server = choose_server (dispatcher, job, &job->tasks[i], chosen);
       if (server == NULL)
@@ -334,9 +338,10 @@
   return (left > right) - (left < right);
 }
 
-/* What is usual among the servers now: the middle slowness, and whether trust is. */
+/* Updates what is derived from all servers: their median slowness, whether trust levels
+ * apply, whether the own link is congested, and counts. */
 static void
-note_usual (Dispatcher *dispatcher)
+update_server_stats (Dispatcher *dispatcher)
 {
   GArray *all = g_array_new (FALSE, FALSE, sizeof (double));
   const LeasedServer *server;
@@ -348,23 +353,23 @@
     {
       double slowness = MAX (server->status.slowness_percent, 1) / 100.0;
 
-      if (server->owner != NULL && server->closed)
+      if (server->user_data != NULL && server->closed)
         closed++;
       if (!server_is_open (server))
         continue;
       g_array_append_val (all, slowness);
-      if (pace_is_slowed (&server->wish_pace))
+      if (pace_is_slowed (&server->request_throttle))
         slowed++;
       if (server->status.trust != TRUST_FULL)
         distrusted++;
     }
   g_array_sort (all, compare_slowness);
-  dispatcher->usual
+  dispatcher->median_slowness
       = all->len > 0 ? MAX (g_array_index (all, double, (all->len - 1) / 2), 1) : 1;
   dispatcher->trust_all = distrusted > MAX (1, all->len * DISTRUSTED_SHARE);
   dispatcher->n_open = all->len;
   dispatcher->n_closed = closed;
-  dispatcher->saves_bytes = slowed > all->len * LATE_SHARE;
+  dispatcher->link_congested = slowed > all->len * CONGESTED_SHARE;
   g_array_unref (all);
 }
 
@@ -379,32 +384,32 @@
       dispatcher_decline_offers (dispatcher);
       return;
     }
-  note_usual (dispatcher);
-  dispatcher_refuse_closed_out (dispatcher);
+  update_server_stats (dispatcher);
+  dispatcher_refuse_zone_closed (dispatcher);
   dispatcher->wait_ms = dispatcher_wait_ms (dispatcher);
   jobs = dispatcher_order (dispatcher);
   dispatcher->ordered = jobs;
-  gather_roomy (dispatcher, least_cpu_of (jobs));
+  gather_candidate_servers (dispatcher, min_cpu_of (jobs));
   for (guint i = 0; i < jobs->len; i++)
     place_job (dispatcher, g_ptr_array_index (jobs, i));
   if (dispatcher->n_waiting > 0)
-    dispatcher_send_wishes (dispatcher, jobs);
+    dispatcher_send_resource_requests (dispatcher, jobs);
   dispatcher->ordered = NULL;
   g_ptr_array_unref (jobs);
   if (dispatcher->arrived)
-    dispatcher_refuse_crowded_out (dispatcher);
+    dispatcher_shed_load (dispatcher);
 }
 
-/* A run that hangs or crawls on a bad server: its job waits for it alone. Starting it
- * anew costs what it has done, so it must end clearly sooner elsewhere, and in time. */
+/* A run that hangs or is slow on a bad server can hold up its whole job. A restart loses
+ * the work done, so it must end clearly sooner elsewhere, and before the deadline. */
 void
-dispatcher_straggler (LeasedTask *task, const TaskReport *report)
+dispatcher_handle_straggler (LeasedTask *task, const TaskReport *report)
 {
   LeasedJob *job = task->job;
   Dispatcher *dispatcher = job->dispatcher;
   LeasedServer *before = task->avoid;
 
-  note_usual (dispatcher);
+  update_server_stats (dispatcher);
   if (report->remaining_ms < STALLED_MS && slowness_of (task->server) <= SLOWNESS_NORMAL)
     return;
   if (task->stopping || job->closed || task->state != TASK_PLACED
@@ -412,8 +417,8 @@
       || dispatcher->now_ms + report->elsewhere_ms > job->spec.deadline_ms)
     return;
   task->avoid = task->server;
-  task->waits_ms = dispatcher->now_ms;
-  gather_roomy (dispatcher, job->spec.demand.cpu_milli);
+  task->waiting_since_ms = dispatcher->now_ms;
+  gather_candidate_servers (dispatcher, job->spec.demand.cpu_milli);
   if (choose_server (dispatcher, job, task, NULL) == NULL)
     {
       task->avoid = before;
--- a/src/dispatcher_requests.c
+++ b/src/dispatcher_requests.c
@@ -1,88 +1,91 @@
 #define LOG_MODULE "dispatcher"
-/* Asking agents for room.
+/* Resource requests to agents.
  *
- * Answers load at which jobs wait at several entries at once: room that frees goes to the
- * best of what waits anywhere (offers.h), so an entry says at some servers what waits
- * here, and answers an offer that it cannot use. Each wish is a frame: how many there are
- * follows from the tasks that wait and from a rate, not from the number of servers. */
+ * Made for load at which jobs wait at several entries at once: capacity that frees is
+ * offered to the waiting job of lowest rank at any entry (offers.h). An entry therefore
+ * tells some servers what waits here, and declines an offer that it cannot use. Each
+ * request is a frame: their number is bounded by the waiting tasks and by a rate, not by
+ * the number of servers. */
 #include "dispatcher_parts.h"
 
 #include <string.h>
 
-/* Room is asked for again before the agent forgets the wish, and sooner when the rank of
- * what waits has fallen to this part of what was told. Wishes a second are bounded for an
- * entry: with many servers each is asked less often, and forgets later. */
-#define WANT_AGAIN_MS 60
-#define WANT_SPACING_MS 3
-#define WANT_BETTER 0.7
-/* An offer is not taken for a job whose rank is this many times what was told: between 1
- * / WANT_BETTER and this a difference is not worth a round trip. */
-#define WANT_WORSE 1.4
-/* Asked of so many servers for each task that waits: whichever has room first. */
-#define WANTS_A_TASK 2
-
-/* Room was kept here for a job that has been placed elsewhere meanwhile: what is left may
- * be less urgent than what waits at other entries, and must say so first. */
+/* A request is repeated before it expires, and sooner if the rank of what waits has
+ * fallen to this factor of the requested rank. Spacing bounds the requests per second of
+ * an entry: with many servers each gets one less often, and it stays valid longer. */
+#define REQUEST_REPEAT_MS 60
+#define REQUEST_SPACING_MS 3
+#define REQUEST_BETTER_FACTOR 0.7
+/* An offer is not used for a job whose rank is more than this many times the requested
+ * rank. Differences between 1 / REQUEST_BETTER_FACTOR and this do not justify a
+ * round trip. */
+#define OFFER_WORSE_FACTOR 1.4
+/* Servers asked for each waiting task; the first with free capacity serves it. */
+#define REQUESTS_PER_TASK 2
+
+/* The job that capacity was reserved for may have been placed elsewhere meanwhile. What
+ * is left may be less urgent than what waits at other entries, so the agent must get a
+ * new request before it is placed here. */
 gboolean
 server_is_offered_for_better (const LeasedServer *server, double rank)
 {
-  return server->status.offered && rank > server->wanted_rank * WANT_WORSE;
+  return server->status.offered && rank > server->requested_rank * OFFER_WORSE_FACTOR;
 }
 
 static guint
-want_again_ms (const Dispatcher *dispatcher)
+request_repeat_ms (const Dispatcher *dispatcher)
 {
-  return MAX (WANT_AGAIN_MS, dispatcher->n_open * WANT_SPACING_MS);
+  return MAX (REQUEST_REPEAT_MS, dispatcher->n_open * REQUEST_SPACING_MS);
 }
 
-/* A third longer, so that a wish that is repeated does not lapse before. */
+/* A third longer, so that a request does not expire before it is repeated. */
 static guint
-want_stands_ms (const Dispatcher *dispatcher)
+request_valid_ms (const Dispatcher *dispatcher)
 {
-  return want_again_ms (dispatcher) * 4 / 3;
+  return request_repeat_ms (dispatcher) * 4 / 3;
 }
 
 static Wish
-wish_for (const LeasedJob *job)
+request_for (const LeasedJob *job)
 {
   Dispatcher *dispatcher = job->dispatcher;
-  Wish wish = { dispatcher->n_waiting, job->waiting, job->rank, job->spec.demand,
-                want_stands_ms (dispatcher) };
+  Wish request = { dispatcher->n_waiting, job->waiting, job->rank, job->spec.demand,
+                   request_valid_ms (dispatcher) };
 
-  return wish;
+  return request;
 }
 
 Wish
-dispatcher_wish (const Dispatcher *dispatcher)
+dispatcher_resource_request (const Dispatcher *dispatcher)
 {
-  Wish nothing = { .rank = RANK_NO_CHANCE };
+  Wish nothing = { .rank = RANK_INFEASIBLE };
 
   for (guint i = 0; i < dispatcher->ordered->len; i++)
     {
       const LeasedJob *job = g_ptr_array_index (dispatcher->ordered, i);
 
       if (job->waiting > 0)
-        return wish_for (job);
+        return request_for (job);
     }
   return nothing;
 }
 
 void
-server_note_wish (LeasedServer *server, const Wish *wish)
+server_note_resource_request (LeasedServer *server, const Wish *request)
 {
-  server->wanted_ms = server->dispatcher->now_ms;
-  server->wanted_rank = wish->rank;
+  server->requested_ms = server->dispatcher->now_ms;
+  server->requested_rank = request->rank;
 }
 
-/* The first job in order that could use room on the server. */
+/* Return: the first of @jobs, lowest rank first, that can run on @server; NULL: none. */
 static const LeasedJob *
-first_for (GPtrArray *jobs, const LeasedServer *server)
+first_job_for (GPtrArray *jobs, const LeasedServer *server)
 {
   for (guint i = 0; i < jobs->len; i++)
     {
       const LeasedJob *job = g_ptr_array_index (jobs, i);
 
-      if (job->waiting > 0 && job->rank < RANK_NO_CHANCE
+      if (job->waiting > 0 && job->rank < RANK_INFEASIBLE
           && strcmp (server->status.service, job->spec.service) == 0
           && server_has_label (server, job->spec.label))
         return job;
@@ -91,51 +94,51 @@
 }
 
 static gboolean
-want_is_news (const LeasedServer *server, double rank)
+request_is_due (const LeasedServer *server, double rank)
 {
-  gint64 age_ms = server->dispatcher->now_ms - server->wanted_ms;
+  gint64 age_ms = server->dispatcher->now_ms - server->requested_ms;
 
   if (server_is_offered_for_better (server, rank)
-      || server->wanted_rank >= RANK_NO_CHANCE)
+      || server->requested_rank >= RANK_INFEASIBLE)
     return TRUE;
-  if (age_ms < pace_interval_ms (&server->wish_pace))
+  if (age_ms < pace_interval_ms (&server->request_throttle))
     return FALSE;
-  return age_ms >= want_again_ms (server->dispatcher)
-         || rank < server->wanted_rank * WANT_BETTER;
+  return age_ms >= request_repeat_ms (server->dispatcher)
+         || rank < server->requested_rank * REQUEST_BETTER_FACTOR;
 }
 
-/* An entry that only asked where it believed to find room would leave room that frees to
- * whoever asked there by chance, whatever waits here. */
+/* Requests go also to servers that seem full: otherwise capacity that frees would go to
+ * whichever entry happened to have a request there, whatever waits here. */
 void
-dispatcher_send_wishes (Dispatcher *dispatcher, GPtrArray *jobs)
+dispatcher_send_resource_requests (Dispatcher *dispatcher, GPtrArray *jobs)
 {
-  guint left = WANTS_A_TASK * dispatcher->n_waiting;
+  guint left = REQUESTS_PER_TASK * dispatcher->n_waiting;
   LeasedServer *server;
 
   TAILQ_FOREACH (server, &dispatcher->servers, link)
     {
       const LeasedJob *job;
-      Wish wish;
+      Wish request;
 
       if (left == 0)
         return;
       if (!server_is_open (server) || !server_is_trusted (server))
         continue;
-      job = first_for (jobs, server);
-      if (job == NULL || !want_is_news (server, job->rank))
+      job = first_job_for (jobs, server);
+      if (job == NULL || !request_is_due (server, job->rank))
         continue;
-      wish = wish_for (job);
-      server_note_wish (server, &wish);
-      dispatcher->ops->want (server, &wish, dispatcher->ctx);
+      request = request_for (job);
+      server_note_resource_request (server, &request);
+      dispatcher->ops->request_resources (server, &request, dispatcher->ctx);
       left--;
     }
 }
 
-/* Room that is kept here for nothing would stand free until the offer lapses. */
+/* Reserved capacity would otherwise stay unused until the offer expires. */
 void
 dispatcher_decline_offers (Dispatcher *dispatcher)
 {
-  const Wish nothing = { .rank = RANK_NO_CHANCE };
+  const Wish nothing = { .rank = RANK_INFEASIBLE };
   LeasedServer *server;
 
   TAILQ_FOREACH (server, &dispatcher->servers, link)
@@ -143,7 +146,7 @@
       if (!server->status.offered || !server_is_open (server))
         continue;
       server->status.offered = FALSE;
-      server_note_wish (server, &nothing);
-      dispatcher->ops->want (server, &nothing, dispatcher->ctx);
+      server_note_resource_request (server, &nothing);
+      dispatcher->ops->request_resources (server, &nothing, dispatcher->ctx);
     }
 }
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -5,18 +5,19 @@
 
 #include <string.h>
 
-/* A server is asked for room at most this often: each wish is a frame. */
-#define WISH_LEAST_MS 10
-/* A task under which so many servers have ended, the last one while it ran there alone,
- * is started no more. */
-#define SERVERS_ENDED_MOST (SERVERS_ENDED_ALONE + 1)
-/* After the lease of an entry an agent needs its tick, the call and the server's own time
- * to end a run. */
+/* Least time between resource requests to one server: each is a frame. */
+#define REQUEST_INTERVAL_MIN_MS 10
+/* A task is not started again once this many servers ended while they ran it, the last
+ * one while it ran there alone. */
+#define SERVERS_ENDED_MAX (SERVERS_ENDED_ISOLATE + 1)
+/* After an entry's lease expires, ending a run takes the agent's tick, its call and the
+ * server's own time. */
 #define STOP_SLACK_MS 150
-/* An agent names ends of the last three seconds; less what a link takes to come back. */
-#define AGENT_MEMORY_MS 2000
-/* A server that refused a start for want of room has told its state by then. */
-#define REFUSED_HOLD_MS 30
+/* An agent's inventory lists the runs that ended in the last 3 s; less the time that a
+ * link takes to reconnect. */
+#define AGENT_HISTORY_MS 2000
+/* By then the state of a server that refused a start has arrived. */
+#define REFUSED_BACKOFF_MS 30
 
 void
 server_status_free (ServerStatus *status)
@@ -43,7 +44,7 @@
 dispatcher_server_up (Dispatcher *dispatcher,
                       guint64 agent,
                       const char *name,
-                      gpointer owner)
+                      gpointer user_data)
 {
   LeasedServer *server = find_server (dispatcher, agent);
 
@@ -57,46 +58,46 @@
       TAILQ_INSERT_TAIL (&dispatcher->servers, server, link);
     }
   dispatcher->linked_ms = dispatcher->now_ms;
-  server->owner = owner;
+  server->user_data = user_data;
   server->inventoried = FALSE;
-  server->late_ms = 0;
-  server->wish_pace = pace_new (WISH_LEAST_MS);
+  server->delay_ms = 0;
+  server->request_throttle = pace_new (REQUEST_INTERVAL_MIN_MS);
   return server;
 }
 
 void
 dispatcher_server_down (LeasedServer *server, gint64 now_ms)
 {
-  server->owner = NULL;
+  server->user_data = NULL;
   event_note ("server-unlinked", "-",
               "agent=%s placed=%u leased_for_ms=%" G_GINT64_FORMAT, server->name,
               server->n_placed,
-              server->granted_until - peer_clock_least (&server->clock, now_ms, 0));
+              server->lease_until - peer_clock_least (&server->clock, now_ms, 0));
 }
 
 gpointer
 leased_server_user_data (const LeasedServer *server)
 {
-  return server->owner;
+  return server->user_data;
 }
 
 void
-dispatcher_server_clock (LeasedServer *server, gint64 told_ms, gint64 now_ms)
+dispatcher_server_clock (LeasedServer *server, gint64 peer_ms, gint64 now_ms)
 {
-  peer_clock_hear (&server->clock, told_ms, now_ms);
+  peer_clock_hear (&server->clock, peer_ms, now_ms);
 }
 
 void
-dispatcher_server_delay (LeasedServer *server, guint late_ms, gint64 now_ms)
+dispatcher_server_delay (LeasedServer *server, guint delay_ms, gint64 now_ms)
 {
-  server->late_ms = late_ms;
-  pace_hear (&server->wish_pace, late_ms, now_ms);
+  server->delay_ms = delay_ms;
+  pace_hear (&server->request_throttle, delay_ms, now_ms);
 }
 
 void
 dispatcher_server_lease_extended (LeasedServer *server, gint64 until_ms)
 {
-  server->granted_until = MAX (server->granted_until, until_ms);
+  server->lease_until = MAX (server->lease_until, until_ms);
 }
 
 guint
@@ -106,7 +107,7 @@
   guint n = 0;
 
   TAILQ_FOREACH (server, &dispatcher->servers, link)
-    if (server->owner != NULL && server->status.ready)
+    if (server->user_data != NULL && server->status.ready)
       n++;
   return n;
 }
@@ -121,12 +122,12 @@
     return;
   task->stopping = TRUE;
   g_strlcpy (key.job, task->job->spec.id, sizeof key.job);
-  if (task->server->owner != NULL)
+  if (task->server->user_data != NULL)
     dispatcher->ops->stop (task->server, &key, dispatcher->ctx);
 }
 
 static void
-note_closing_run_over (LeasedJob *job)
+closing_run_ended (LeasedJob *job)
 {
   Dispatcher *dispatcher = job->dispatcher;
   guint left = GPOINTER_TO_UINT (g_hash_table_lookup (dispatcher->closing, job->spec.id));
@@ -147,21 +148,21 @@
   g_assert (server != NULL);
   TAILQ_REMOVE (&server->tasks, task, on_server);
   server->n_placed--;
-  demand_subtract (&server->placed, &task->taken);
+  demand_subtract (&server->placed, &task->reserved);
   task->server = NULL;
   task->stopping = FALSE;
   job->placed--;
   if (job->closed)
-    note_closing_run_over (job);
+    closing_run_ended (job);
 }
 
 static void
-task_wait_again (LeasedTask *task)
+task_requeue (LeasedTask *task)
 {
   LeasedJob *job = task->job;
 
-  task->state = TASK_WAITS;
-  task->waits_ms = job->dispatcher->now_ms;
+  task->state = TASK_WAITING;
+  task->waiting_since_ms = job->dispatcher->now_ms;
   if (job->closed)
     return;
   job->waiting++;
@@ -197,14 +198,14 @@
   task->avoid = task->server;
   task_detach (task);
   task->failures++;
-  task_wait_again (task);
+  task_requeue (task);
   if (task->failures >= job->spec.max_attempts)
     job_answer (job, LEASED_FAILED, "a task failed as often as its queue allows", 0);
 }
 
-/* A task may end each server that starts it, and with it all that runs beside it. Once
- * that has happened twice it runs alone (dispatcher_place.c): if the server ends again,
- * it is this task that ends them. What only stood beside it ends well there. */
+/* A task may crash every server that starts it, and with it all other runs there. After
+ * two such servers the task runs alone (dispatcher_place.c): if that server ends too, the
+ * task is the cause; a task that only ran beside the cause completes there. */
 static void
 task_server_ended (LeasedTask *task)
 {
@@ -214,8 +215,8 @@
   event_note ("server-ended-under", job->spec.id, "task=%u run=%u agent=%s times=%u",
               task->index, task->run, task->server->name, task->servers_ended);
   task_detach (task);
-  task_wait_again (task);
-  if (task->servers_ended < SERVERS_ENDED_MOST || job->closed)
+  task_requeue (task);
+  if (task->servers_ended < SERVERS_ENDED_MAX || job->closed)
     return;
   counter_add (COUNTER_TASKS_ENDED_SERVERS, 1);
   job_answer (job, LEASED_FAILED, "the servers that start a task of it end", 0);
@@ -226,12 +227,12 @@
 {
   LeasedServer *server = task->server;
 
-  /* A superseded number says nothing about the server: the next one is tried at once. Of
-   * a lack of room the agent has just told its present state. */
+  /* No backoff in two cases: a superseded run number says nothing about the server, and
+   * with "no room" the agent has just reported its present state. */
   if (strcmp (reason, "superseded") != 0 && strcmp (reason, "no room") != 0)
-    server->hold_until_ms = server->dispatcher->now_ms + REFUSED_HOLD_MS;
+    server->backoff_until_ms = server->dispatcher->now_ms + REFUSED_BACKOFF_MS;
   task_detach (task);
-  task_wait_again (task);
+  task_requeue (task);
 }
 
 static gboolean
@@ -253,7 +254,7 @@
 }
 
 static void
-take_event (LeasedTask *task, const TaskReport *report)
+handle_report (LeasedTask *task, const TaskReport *report)
 {
   LeasedJob *job = task->job;
 
@@ -278,17 +279,17 @@
     case TASK_LOST:
       job->started = TRUE;
       task_detach (task);
-      task_wait_again (task);
+      task_requeue (task);
       break;
     case TASK_SERVER_ENDED:
       job->started = TRUE;
       task_server_ended (task);
       break;
     case TASK_STRAGGLES:
-      dispatcher_straggler (task, report);
+      dispatcher_handle_straggler (task, report);
       return;
     }
-  job_release_if_over (job);
+  job_free_if_done (job);
 }
 
 static void
@@ -298,29 +299,29 @@
 
   job->started |= task->started_ms > 0;
   task_detach (task);
-  task_wait_again (task);
-  job_release_if_over (job);
+  task_requeue (task);
+  job_free_if_done (job);
 }
 
-/* The agent told all it has, with the runs that ended a short while ago: an order that it
- * does not name was lost with its link, and no later one of that link can reach it. One
- * that is older than what the agent remembers may have run. */
+/* The inventory lists all of the agent's runs, with those that ended recently. An order
+ * that it lacks was lost with its link and can no longer arrive, but if it is older than
+ * the agent's history, it may have run. */
 static void
-drop_unnamed (LeasedServer *server, const TaskReport *reports, gsize n)
+drop_unlisted (LeasedServer *server, const TaskReport *reports, gsize n)
 {
   LeasedTask *task;
   LeasedTask *next;
 
   for (task = TAILQ_FIRST (&server->tasks); task != NULL; task = next)
     {
-      gboolean named = FALSE;
+      gboolean listed = FALSE;
 
       next = TAILQ_NEXT (task, on_server);
-      for (gsize i = 0; i < n && !named; i++)
-        named = is_run_of (task, &reports[i].key);
-      if (named)
+      for (gsize i = 0; i < n && !listed; i++)
+        listed = is_run_of (task, &reports[i].key);
+      if (listed)
         continue;
-      if (server->dispatcher->now_ms - task->placed_ms > AGENT_MEMORY_MS)
+      if (server->dispatcher->now_ms - task->placed_ms > AGENT_HISTORY_MS)
         task->job->started = TRUE;
       lose_task (task);
     }
@@ -338,7 +339,7 @@
   dispatcher->now_ms = now_ms;
   if (inventory)
     {
-      drop_unnamed (server, reports, n);
+      drop_unlisted (server, reports, n);
       server->inventoried = TRUE;
     }
   for (gsize i = 0; i < n; i++)
@@ -346,8 +347,8 @@
       LeasedTask *task = find_task (server, &reports[i].key);
 
       if (task != NULL)
-        take_event (task, &reports[i]);
-      else if (reports[i].event == TASK_STARTED && server->owner != NULL)
+        handle_report (task, &reports[i]);
+      else if (reports[i].event == TASK_STARTED && server->user_data != NULL)
         dispatcher->ops->stop (server, &reports[i].key, dispatcher->ctx);
     }
   dispatcher->ops->pump (dispatcher->ctx);
@@ -360,13 +361,13 @@
 
   while ((task = TAILQ_FIRST (&server->tasks)) != NULL)
     {
-      task->job->started = TRUE; /* for all that is known */
+      task->job->started = TRUE; /* it may have */
       lose_task (task);
     }
 }
 
 static void
-give_up (LeasedServer *server, const char *reason)
+declare_dead (LeasedServer *server, const char *reason)
 {
   event_note ("server-given-up", "-", "agent=%s reason=\"%s\" lost=%u", server->name,
               reason, server->n_placed);
@@ -377,27 +378,28 @@
   g_free (server);
 }
 
-/* A new agent says ready only once nothing of its predecessor's runs any more: waiting
- * for the predecessor's leases would cost its tasks about a second. */
+/* A new agent reports ready only once none of its predecessor's runs is left. Waiting for
+ * the predecessor's leases to expire would delay their tasks by about a second. */
 static void
-bury_earlier_agents (const LeasedServer *living)
+drop_predecessors (const LeasedServer *successor)
 {
   LeasedServer *server;
   LeasedServer *next;
 
-  for (server = TAILQ_FIRST (&living->dispatcher->servers); server != NULL; server = next)
+  for (server = TAILQ_FIRST (&successor->dispatcher->servers); server != NULL;
+       server = next)
     {
       next = TAILQ_NEXT (server, link);
-      if (server != living && server->owner == NULL
-          && strcmp (server->name, living->name) == 0)
-        give_up (server, "a new agent has cleared it");
+      if (server != successor && server->user_data == NULL
+          && strcmp (server->name, successor->name) == 0)
+        declare_dead (server, "a new agent has cleared it");
     }
 }
 
-/* Closed if either knows: an entry that is cut off from the table learns it from the
- * agent, and an entry that knows does not wait for the agent's word. */
+/* A zone is closed if the entry or the agent knows it: an entry that is cut off from the
+ * table learns it from the agent, and one that knows does not wait for the agent. */
 static void
-note_closed (LeasedServer *server)
+update_closed (LeasedServer *server)
 {
   const Closures *closures = server->dispatcher->init.closures;
   const char *zone = server->status.zone;
@@ -412,16 +414,16 @@
   LeasedServer *server;
 
   TAILQ_FOREACH (server, &dispatcher->servers, link)
-    note_closed (server);
+    update_closed (server);
   dispatcher->ops->pump (dispatcher->ctx);
 }
 
 void
 dispatcher_server_status (LeasedServer *server, ServerStatus *status)
 {
-  gboolean other_life = g_strcmp0 (server->status.instance, status->instance) != 0;
+  gboolean other_instance = g_strcmp0 (server->status.instance, status->instance) != 0;
 
-  if (other_life || server->status.ready != status->ready
+  if (other_instance || server->status.ready != status->ready
       || server->status.draining != status->draining
       || server->status.closed != status->closed || server->status.trust != status->trust)
     event_note ("server-status", "-",
@@ -432,19 +434,20 @@
                 status->slowness_percent, status->failing_percent);
   server_status_free (&server->status);
   server->status = *status;
-  note_closed (server);
+  update_closed (server);
   if (status->ready)
-    bury_earlier_agents (server);
+    drop_predecessors (server);
   server->dispatcher->ops->pump (server->dispatcher->ctx);
 }
 
-/* A server whose agent is not linked: its runs end with the leases, first the one that
- * this process gave the agent, then the one that the agent gave the server. */
+/* The runs of a server whose agent is not linked end with the leases: that from this
+ * entry to the agent, then that from the agent to the server, whose clock may run 2%
+ * slow. */
 static gboolean
-runs_are_over (const LeasedServer *server)
+leases_expired (const LeasedServer *server)
 {
   const Dispatcher *dispatcher = server->dispatcher;
-  gint64 longest = server->granted_until + dispatcher->init.server_lease_ms
+  gint64 longest = server->lease_until + dispatcher->init.server_lease_ms
                    + dispatcher->init.server_lease_ms / 50 + STOP_SLACK_MS;
 
   return peer_clock_least (&server->clock, dispatcher->now_ms, 0) > longest;
@@ -459,8 +462,8 @@
   for (server = TAILQ_FIRST (&dispatcher->servers); server != NULL; server = next)
     {
       next = TAILQ_NEXT (server, link);
-      if (server->owner != NULL || !runs_are_over (server))
+      if (server->user_data != NULL || !leases_expired (server))
         continue;
-      give_up (server, "leases are over");
+      declare_dead (server, "leases are over");
     }
 }
