--- a/tests/test-dispatcher.c
+++ b/tests/test-dispatcher.c
@@ -1,4 +1,5 @@
-/* The dispatcher between servers and callers that the test plays. */
+/* The dispatcher with simulated servers and callers. A Scene is the test fixture: it
+ * records the orders and results, and each test sets the time and sends the reports. */
 #include "cases.h"
 #include "dispatcher.h"
 
@@ -26,7 +27,7 @@
   guint capacity;
   Order *orders;
   guint n_orders;
-  guint wants;
+  guint n_requests;
   guint results;
   LeasedResult last;
   gint64 now;
@@ -47,7 +48,7 @@
           const RunKey *runs,
           gsize n_runs,
           guint expected_ms,
-          const Wish *wish,
+          const Wish *request,
           gint64 valid_until_ms,
           gpointer ctx)
 {
@@ -67,11 +68,11 @@
 }
 
 static void
-on_want (LeasedServer *server, const Wish *wish, gpointer ctx)
+on_request_resources (LeasedServer *server, const Wish *request, gpointer ctx)
 {
   Scene *scene = ctx;
 
-  scene->wants++;
+  scene->n_requests++;
 }
 
 static void
@@ -85,11 +86,11 @@
 }
 
 static void
-on_want_pump (gpointer ctx)
+on_pump (gpointer ctx)
 {
 }
 
-static const DispatcherOps ops = { on_order, on_want, on_stop, on_want_pump };
+static const DispatcherOps ops = { on_order, on_request_resources, on_stop, on_pump };
 
 static void
 on_done (const LeasedResult *result, gpointer ctx)
@@ -101,11 +102,11 @@
 }
 
 static void
-tell_status (Scene *scene, guint i, const ServerStatus *template)
+set_status (Scene *scene, guint i, const ServerStatus *template)
 {
   ServerStatus status = *template;
 
-  status.instance = g_strdup_printf ("life-%u", i);
+  status.instance = g_strdup_printf ("instance-%u", i);
   status.service = g_strdup ("exchange");
   status.zone = g_strdup ("fukuoka-a");
   status.labels = g_new0 (char *, 1);
@@ -113,14 +114,14 @@
 }
 
 static void
-tell_trust (Scene *scene, guint i, Trust trust)
+set_trust (Scene *scene, guint i, Trust trust)
 {
   ServerStatus status = { .capacity = { scene->capacity, 100000, 0 },
                           .ready = TRUE,
                           .trust = trust,
                           .slowness_percent = 100 };
 
-  tell_status (scene, i, &status);
+  set_status (scene, i, &status);
 }
 
 static void
@@ -130,7 +131,7 @@
   dispatcher_server_clock (scene->servers[i], scene->now, scene->now);
   dispatcher_reports (scene->servers[i], NULL, 0, TRUE, scene->now);
   dispatcher_server_lease_extended (scene->servers[i], scene->now + 450);
-  tell_trust (scene, i, TRUST_FULL);
+  set_trust (scene, i, TRUST_FULL);
 }
 
 static void
@@ -198,7 +199,7 @@
 }
 
 static void
-pass (Scene *scene, guint ms)
+advance (Scene *scene, guint ms)
 {
   scene->now += ms;
   dispatcher_tick (scene->dispatcher, scene->now);
@@ -238,9 +239,8 @@
   g_assert_cmpuint (scene->orders[6].server, ==, scene->orders[0].server);
 }
 
-/* Symptom: a job fails although its queue allows two runs of a task.
- * Sequence: a task fails by its own fault, as a few in a thousand do.
- * Cause: the first failure taken for the last word. */
+/* A job failed on the first failure of a task, although its queue allows two runs of
+ * each; a few tasks in a thousand fail by their own fault. */
 static void
 failed_task_runs_again_elsewhere (Scene *scene)
 {
@@ -255,10 +255,8 @@
   g_assert_cmpint (scene->last.end, ==, LEASED_FAILED);
 }
 
-/* Symptom: a task runs twice at once behind a cut.
- * Sequence: the link to an agent breaks; its task is ordered elsewhere at once, while the
- * agent, alive behind the cut, lets it run on.
- * Cause: a broken link taken for the end of what was ordered over it. */
+/* A broken link was taken for the end of the runs ordered over it: in a network partition
+ * the agent let a task run on while it was ordered elsewhere, so it ran twice at once. */
 static void
 cut_off_runs_are_waited_for (Scene *scene)
 {
@@ -269,15 +267,15 @@
   first = &scene->orders[0];
   report (scene, first, TASK_STARTED);
   dispatcher_server_down (scene->servers[first->server], scene->now);
-  pass (scene, 450 + SERVER_LEASE_MS);
+  advance (scene, 450 + SERVER_LEASE_MS);
   g_assert_cmpuint (scene->n_orders, ==, 1);
-  pass (scene, 200);
+  advance (scene, 200);
   g_assert_cmpuint (scene->n_orders, ==, 2);
   g_assert_cmpuint (scene->orders[1].server, !=, first->server);
 }
 
-/* An agent that is linked again tells all it has: what it does not name runs anew at
- * once, what it names goes on. */
+/* After an agent has reconnected, tasks that its inventory lacks are rerun at once, those
+ * that it lists go on. */
 static void
 inventory_settles_orders (Scene *scene)
 {
@@ -286,8 +284,8 @@
   guint i;
 
   scene_open (scene, 6000);
-  tell_status (scene, 1, &full);
-  tell_status (scene, 2, &full);
+  set_status (scene, 1, &full);
+  set_status (scene, 2, &full);
   submit (scene, "a", 2);
   i = scene->orders[0].server;
   g_assert_cmpuint (scene->orders[1].server, ==, i);
@@ -301,10 +299,8 @@
   g_assert_cmpuint (scene->orders[2].key.run, ==, 2);
 }
 
-/* Symptom: an order that was just sent is taken for lost and sent a second time.
- * Sequence: a link is up, orders go out, and then the agent's list arrives, written
- * before them.
- * Cause: orders before the inventory. */
+/* Orders were sent before the agent's inventory had arrived. It was written before them,
+ * so they were taken for lost and sent a second time. */
 static void
 nothing_is_ordered_before_the_inventory (Scene *scene)
 {
@@ -322,9 +318,8 @@
   g_assert_cmpuint (scene->n_orders, ==, 1);
 }
 
-/* Symptom: a job runs twice at once after its caller lost the connection.
- * Sequence: the caller sends it again, over a new connection, while the first runs.
- * Cause: the second submission taken for a new job. */
+/* A caller that lost its connection submitted its job again while it ran. It was taken
+ * for a new job and ran twice at once. */
 static void
 resubmission_joins (Scene *scene)
 {
@@ -336,14 +331,14 @@
   report (scene, &scene->orders[0], TASK_DONE);
   g_assert_cmpint (scene->last.end, ==, LEASED_COMPLETED);
   submit (scene, "a", 1);
-  pass (scene, 20);
+  advance (scene, 20);
   g_assert_cmpuint (scene->results, ==, 3);
   g_assert_cmpint (scene->last.end, ==, LEASED_COMPLETED);
   g_assert_cmpuint (scene->n_orders, ==, 1);
 }
 
-/* The same after the caller has gone: the runs are being stopped, and until the last has
- * ended none of the new job begins. */
+/* The same after a cancellation: no run of the new job may start until the last run of
+ * the cancelled one has stopped. */
 static void
 resubmission_waits_for_stops (Scene *scene)
 {
@@ -360,9 +355,8 @@
   g_assert_cmpuint (scene->n_orders, ==, 2);
 }
 
-/* Symptom: callers wait seconds for a refusal that was certain from the start.
- * Sequence: all servers are full of long tasks; a job with a short objective comes.
- * Cause: jobs kept until their deadline. */
+/* Infeasible jobs were kept until their deadline: with all servers full of long tasks,
+ * the caller of a job with a short objective waited seconds for a certain refusal. */
 static void
 hopeless_is_refused_at_once (Scene *scene)
 {
@@ -373,19 +367,19 @@
   spec = spec_of (scene, "late", 1, 100);
   spec.arrived_ms = scene->now - 700;
   dispatcher_submit (scene->dispatcher, &spec, on_done, scene, scene->now);
-  pass (scene, 20);
+  advance (scene, 20);
   g_assert_cmpint (scene->last.end, ==, LEASED_REFUSED);
   g_assert_cmpuint (scene->last.retry_after_ms, >, 0);
 }
 
-/* A refusal must be true: once something of the job ran it is no longer "not run". */
+/* "Refused" promises that no task ran, so a job that has started is given up instead. */
 static void
 started_is_never_called_refused (Scene *scene)
 {
   scene_open (scene, 1000);
   submit (scene, "a", 4);
   report (scene, &scene->orders[0], TASK_STARTED);
-  pass (scene, 4100);
+  advance (scene, 4100);
   g_assert_cmpuint (scene->results, ==, 1);
   g_assert_cmpint (scene->last.end, ==, LEASED_GIVEN_UP);
 }
@@ -396,24 +390,24 @@
   guint on_first = 0;
 
   scene_open (scene, 4000);
-  tell_trust (scene, 0, TRUST_NONE);
+  set_trust (scene, 0, TRUST_NONE);
   submit (scene, "a", 4);
   for (guint i = 0; i < scene->n_orders; i++)
     g_assert_cmpuint (scene->orders[i].server, !=, 0);
-  tell_trust (scene, 0, TRUST_PROBE);
+  set_trust (scene, 0, TRUST_PROBE);
   submit (scene, "b", 8);
   for (guint i = 0; i < scene->n_orders; i++)
     on_first += scene->orders[i].server == 0;
   g_assert_cmpuint (on_first, ==, 1);
 }
 
-/* If most servers fail, the fault is in the tasks: work goes on. */
+/* If most servers fail, the fault is in the tasks, and trust levels are ignored. */
 static void
 distrust_of_most_is_ignored (Scene *scene)
 {
   scene_open (scene, 1000);
   for (guint i = 0; i < SERVERS; i++)
-    tell_trust (scene, i, TRUST_NONE);
+    set_trust (scene, i, TRUST_NONE);
   submit (scene, "a", 3);
   g_assert_cmpuint (scene->n_orders, ==, 3);
 }
@@ -425,7 +419,7 @@
       = { .capacity = { 8000, 100000, 0 }, .ready = TRUE, .slowness_percent = 600 };
 
   scene_open (scene, 1000);
-  tell_status (scene, 0, &slow);
+  set_status (scene, 0, &slow);
   submit (scene, "a", 2);
   g_assert_cmpuint (scene->n_orders, ==, 2);
   for (guint i = 0; i < 2; i++)
@@ -454,7 +448,7 @@
   g_assert_cmpuint (scene->orders[1].server, !=, scene->orders[0].server);
 }
 
-/* With no room elsewhere a straggler is better than nothing. */
+/* A straggler is not stopped while no other server has free capacity. */
 static void
 straggler_stays_where_all_is_full (Scene *scene)
 {
@@ -470,25 +464,24 @@
   g_assert_false (scene->orders[0].stopped);
 }
 
-/* Symptom: a job waits to its deadline with a sound server idle.
- * Sequence: a task fails on the only server that can be used.
- * Cause: the server where it failed was kept out for good. */
+/* The server where a task had failed was avoided for good: if no other was usable, the
+ * job waited to its deadline with a healthy server idle. */
 static void
 only_server_is_used_again (Scene *scene)
 {
   ServerStatus full = { .ready = TRUE, .slowness_percent = 100 };
 
   scene_open (scene, 1000);
-  tell_status (scene, 1, &full);
-  tell_status (scene, 2, &full);
+  set_status (scene, 1, &full);
+  set_status (scene, 2, &full);
   submit (scene, "a", 1);
   report (scene, &scene->orders[0], TASK_FAILED);
   g_assert_cmpuint (scene->n_orders, ==, 1);
-  pass (scene, 120);
+  advance (scene, 120);
   g_assert_cmpuint (scene->n_orders, ==, 2);
 }
 
-/* The same where the only server was slow when last heard of. */
+/* The same if the only server was slow in its last report. */
 static void
 slow_server_is_better_than_none (Scene *scene)
 {
@@ -497,18 +490,17 @@
       = { .capacity = { 8000, 100000, 0 }, .ready = TRUE, .slowness_percent = 400 };
 
   scene_open (scene, 1000);
-  tell_status (scene, 0, &slow);
-  tell_status (scene, 1, &full);
-  tell_status (scene, 2, &full);
+  set_status (scene, 0, &slow);
+  set_status (scene, 1, &full);
+  set_status (scene, 2, &full);
   submit (scene, "a", 1);
   g_assert_cmpuint (scene->n_orders, ==, 0);
-  pass (scene, 320);
+  advance (scene, 320);
   g_assert_cmpuint (scene->n_orders, ==, 1);
 }
 
-/* Symptom: runs are stopped and started anew although no server is bad.
- * Sequence: the tasks of a queue begin to take longer than was learned.
- * Cause: servers judged against the estimates instead of each other. */
+/* Servers were judged against the estimates instead of each other: when a queue's tasks
+ * began to take longer than learned, runs were restarted though no server was bad. */
 static void
 all_slow_alike_is_usual (Scene *scene)
 {
@@ -520,7 +512,7 @@
 
   scene_open (scene, 1000);
   for (guint i = 0; i < SERVERS; i++)
-    tell_status (scene, i, &slow);
+    set_status (scene, i, &slow);
   submit (scene, "a", 1);
   g_assert_cmpuint (scene->n_orders, ==, 1);
   straggler.key = scene->orders[0].key;
@@ -535,27 +527,24 @@
   void (*play) (Scene *scene);
 } Case;
 
-/* Symptom: callers wait out three times their objective and are then refused; the work
- *   before them never ends.
- * Sequence: all room is taken; each job that comes waits behind the earlier ones.
- * Cause: only what could not end even if it began now was refused. */
+/* Only jobs that were infeasible even if started now were refused: with all capacity
+ * used, jobs behind others waited three times their objective and were then refused. */
 static void
 crowded_out_is_refused_at_once (Scene *scene)
 {
   scene_open (scene, 3000);
   submit (scene, "full", 9);
   submit (scene, "narrow", 2);
-  submit (scene, "wide", 90); /* for a second; of use for 0.66 s */
+  submit (scene, "wide", 90); /* 1 s of work; useful for 0.66 s */
   g_assert_cmpuint (scene->n_orders, ==, 9);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   g_assert_cmpuint (scene->results, ==, 1);
   g_assert_cmpint (scene->last.end, ==, LEASED_REFUSED);
   g_assert_cmpuint (scene->last.retry_after_ms, >, 0);
   g_assert_cmpuint (dispatcher_waiting (scene->dispatcher), ==, 2);
 }
 
-/* What it would wait for is not known while no agent can be reached: perhaps for a
- * moment. */
+/* While no agent can be reached, the wait is not known and may be short. */
 static void
 unreachable_servers_refuse_nobody (Scene *scene)
 {
@@ -565,14 +554,13 @@
     dispatcher_server_down (scene->servers[i], scene->now);
   submit (scene, "b", SERVERS);
   submit (scene, "c", SERVERS);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   g_assert_cmpuint (scene->results, ==, 0);
 }
 
-/* Symptom: the reason of a refusal differs from play to play, and at times the figures
- * that decided it are not told. Sequence: a job waits behind runs that take far longer
- * than expected; the tick in which its time is over comes late. Cause: both refusals were
- * due in that tick, and the one without figures went first. */
+/* If the tick comes late in which a job becomes infeasible behind runs that take far
+ * longer than expected, both refusals are due. The one without figures went first, so the
+ * reason varied and the figures behind it were at times not logged. */
 static void
 late_tick_tells_what_decided (Scene *scene)
 {
@@ -580,72 +568,68 @@
   submit (scene, "runs", SERVERS);
   for (guint i = 0; i < SERVERS; i++)
     report (scene, &scene->orders[i], TASK_STARTED);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   submit (scene, "waits", 1);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   g_assert_cmpuint (scene->results, ==, 0);
-  pass (scene, 1000); /* of use for 0.66 s */
+  advance (scene, 1000); /* useful for 0.66 s */
   g_assert_cmpuint (scene->results, ==, 1);
   g_assert_cmpint (scene->last.end, ==, LEASED_REFUSED);
   g_assert_cmpstr (scene->last.reason, ==, "more urgent work takes all room");
 }
 
 static void
-tell_used_by_others (Scene *scene, guint i, guint cpu_milli)
+set_used_by_others (Scene *scene, guint i, guint cpu_milli)
 {
   ServerStatus status = { .capacity = { scene->capacity, 100000, 0 },
                           .used_by_others = { cpu_milli, 0, 0 },
                           .ready = TRUE,
                           .slowness_percent = 100 };
 
-  tell_status (scene, i, &status);
+  set_status (scene, i, &status);
 }
 
-/* Symptom: the second of two jobs that come at once is refused at an entry that few
- * callers use, while all others of its rank are served. Sequence: the entry was idle for
- * seconds, the other entries used all servers. Cause: its part of the servers was taken
- * to be what it had used. */
+/* An entry's share of the servers was taken to be its recent use. After seconds idle,
+ * with all servers used by other entries, it refused the second of two concurrent jobs,
+ * while others of that rank were served. */
 static void
 few_callers_are_served_too (Scene *scene)
 {
   scene_open (scene, 4000);
   submit (scene, "earlier", 1);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   report (scene, &scene->orders[0], TASK_DONE);
   for (guint i = 0; i < SERVERS; i++)
-    tell_used_by_others (scene, i, 4000);
+    set_used_by_others (scene, i, 4000);
   for (guint i = 0; i < 5000 / DISPATCHER_TICK_MS; i++)
-    pass (scene, DISPATCHER_TICK_MS);
+    advance (scene, DISPATCHER_TICK_MS);
   submit (scene, "a", 1);
   submit (scene, "b", 1);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   g_assert_cmpuint (scene->results, ==, 1); /* of the earlier one */
 }
 
-/* Symptom: of the callers in the two seconds after a restart of all, a fifth is refused.
- * Sequence: the other entries are back a moment earlier and have placed their jobs; those
- *   that gathered meanwhile come to this one all at once.
- * Cause: what came at once was taken for a lasting rate, and what the others had placed
- *   for their part of the servers. */
+/* After a restart of all entries, a fifth of the callers were refused for two seconds. At
+ * the last entry to be back, the burst of jobs that had gathered was taken for a lasting
+ * rate, and what the others had already placed for their share of the servers. */
 static void
 restarted_entry_waits_for_figures (Scene *scene)
 {
   scene_open (scene, 1000);
   for (guint i = 1; i < SERVERS; i++)
-    tell_used_by_others (scene, i, 1000);
+    set_used_by_others (scene, i, 1000);
   submit (scene, "a", 1);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   submit (scene, "b", 1);
   submit (scene, "c", 1);
   submit (scene, "d", 1);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   g_assert_cmpuint (scene->results, ==, 0);
 }
 
-/* Symptom: a wide job gets seven of nine answers and is then given up.
- * Sequence: its objective passes by a little; fresh jobs that can make theirs keep
- * coming. Cause: any job in time went before any that was late, however little was left
- * of it. */
+/* Any job in time went before any late one, however little was left of it: a wide job
+ * that missed its objective by a little was given up with seven of nine tasks done, while
+ * fresh jobs kept arriving. */
 static void
 nearly_done_goes_before_fresh (Scene *scene)
 {
@@ -664,8 +648,9 @@
   g_assert_cmpstr (last->key.job, ==, "wide");
 }
 
-/* Room was kept for a job that has been placed elsewhere meanwhile: another entry may
- * have something better than what is left here, and decides once it is told. */
+/* The job that capacity was reserved for has been placed elsewhere meanwhile. Another
+ * entry may have a job of lower rank than what is left here, so the agent is sent a new
+ * request first. */
 static void
 offer_for_better_is_not_taken (Scene *scene)
 {
@@ -677,12 +662,12 @@
   scene_open (scene, 1000);
   submit (scene, "a", SERVERS);
   submit (scene, "b", 1);
-  g_assert_cmpuint (scene->wants, >, 0);
+  g_assert_cmpuint (scene->n_requests, >, 0);
   report (scene, &scene->orders[0], TASK_DONE);
   g_assert_cmpuint (scene->n_orders, ==, SERVERS + 1);
   submit (scene, "late", 2);
   scene->now += 200;
-  tell_status (scene, scene->orders[1].server, &offered);
+  set_status (scene, scene->orders[1].server, &offered);
   report (scene, &scene->orders[1], TASK_DONE);
   g_assert_cmpuint (scene->n_orders, ==, SERVERS + 1);
 }
@@ -696,11 +681,9 @@
   return NULL;
 }
 
-/* Symptom: one job takes down server after server, with all that runs there, for as long
- *   as its caller waits.
- * Sequence: a task ends each server that starts it; each time it waits again and is
- *   started elsewhere.
- * Cause: a run that is lost with its server was repeated without a bound. */
+/* A run lost with its server was repeated without a bound: a task that crashes each
+ * server that starts it took down server after server, with all other runs there, for as
+ * long as its caller waited. */
 static void
 task_that_ends_servers_is_given_up (Scene *scene)
 {
@@ -715,16 +698,15 @@
       g_assert_cmpuint (starts, <=, 3);
       report (scene, order, TASK_STARTED);
       report (scene, order, TASK_SERVER_ENDED);
-      pass (scene, DISPATCHER_TICK_MS);
+      advance (scene, DISPATCHER_TICK_MS);
     }
   g_assert_cmpuint (starts, ==, 3);
   g_assert_cmpuint (scene->results, ==, 1);
   g_assert_cmpint (scene->last.end, ==, LEASED_FAILED);
 }
 
-/* Symptom: a job fails though its tasks are sound.
- * Sequence: it stands beside one that ends servers, twice.
- * Cause: whatever ran on a server that ended taken for guilty. */
+/* Every task on a server that crashed was taken for the cause: a sound job failed because
+ * it twice ran beside one that crashes servers. */
 static void
 bystander_runs_alone_and_is_served (Scene *scene)
 {
@@ -750,7 +732,8 @@
   g_assert_cmpint (scene->last.end, ==, LEASED_COMPLETED);
 }
 
-/* It takes a whole server, so it waits until one is empty; what runs stays. */
+/* A task that must run alone needs a whole server: it waits for an idle one, and other
+ * runs are not stopped for it. */
 static void
 suspect_waits_for_an_empty_server (Scene *scene)
 {
@@ -758,19 +741,18 @@
   submit (scene, "suspect", 1);
   report (scene, open_order_of (scene, "suspect"), TASK_SERVER_ENDED);
   for (guint i = 0; i < SERVERS; i++)
-    tell_used_by_others (scene, i, 1000);
+    set_used_by_others (scene, i, 1000);
   report (scene, open_order_of (scene, "suspect"), TASK_SERVER_ENDED);
-  pass (scene, 100);
+  advance (scene, 100);
   g_assert_null (open_order_of (scene, "suspect"));
-  tell_used_by_others (scene, 1, 0);
-  pass (scene, DISPATCHER_TICK_MS);
+  set_used_by_others (scene, 1, 0);
+  advance (scene, DISPATCHER_TICK_MS);
   g_assert_nonnull (open_order_of (scene, "suspect"));
   g_assert_cmpuint (open_order_of (scene, "suspect")->server, ==, 1);
 }
 
-/* Symptom: orders come too late, are refused and sent again, and keep the link full.
- * Sequence: what is sent to a server comes late; room is free there.
- * Cause: orders were sent whatever became of those before. */
+/* Orders were sent to a server with free capacity however delayed its frames were. They
+ * arrived too old, were refused and sent again, and kept the link congested. */
 static void
 late_orders_hold_back (Scene *scene)
 {
@@ -782,7 +764,7 @@
   for (guint i = 0; i < scene->n_orders; i++)
     g_assert_cmpuint (scene->orders[i].server, ==, 1);
   dispatcher_server_delay (scene->servers[0], 10, scene->now);
-  pass (scene, DISPATCHER_TICK_MS);
+  advance (scene, DISPATCHER_TICK_MS);
   g_assert_cmpuint (scene->n_orders, ==, 6);
   g_assert_cmpuint (scene->orders[5].server, ==, 0);
 }
