--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -38,7 +38,7 @@
           gint64 valid_until_ms,
           gpointer ctx)
 {
-  MeshPeer *peer = leased_server_owner (server);
+  MeshPeer *peer = leased_server_user_data (server);
   Gw__RunOrder *order = g_new (Gw__RunOrder, 1);
 
   gw__run_order__init (order);
@@ -60,7 +60,7 @@
 static void
 on_request_resources (LeasedServer *server, const Wish *resources, gpointer ctx)
 {
-  MeshPeer *peer = leased_server_owner (server);
+  MeshPeer *peer = leased_server_user_data (server);
   Gw__RunOrder *order = g_new (Gw__RunOrder, 1);
 
   gw__run_order__init (order);
@@ -72,7 +72,7 @@
 static void
 on_stop (LeasedServer *server, const RunKey *key, gpointer ctx)
 {
-  MeshPeer *peer = leased_server_owner (server);
+  MeshPeer *peer = leased_server_user_data (server);
   Gw__RunStop *stop = g_new (Gw__RunStop, 1);
 
   gw__run_stop__init (stop);
@@ -176,7 +176,7 @@
 {
   if (frame->time != NULL)
     dispatcher_server_clock (peer->data, frame->time->now_ms, clock_now_ms ());
-  dispatcher_server_late (peer->data, peer->told_late_ms, clock_now_ms ());
+  dispatcher_server_delay (peer->data, peer->told_late_ms, clock_now_ms ());
   if (frame->server_state != NULL)
     take_server_state (peer, frame->server_state);
   if (frame->n_run_reports > 0 || frame->inventory)
@@ -224,7 +224,7 @@
   leased_entry_config_prepare (entry, peer, frame);
   leased_entry_zones_prepare (entry, peer, frame);
   if (!peer->is_entry && peer->data != NULL)
-    dispatcher_server_granted (peer->data, peer->granted_until);
+    dispatcher_server_lease_extended (peer->data, peer->granted_until);
 }
 
 static void
