--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -3,7 +3,7 @@
  * servers, runs lost tasks again and tells how each job ended. No I/O of its own:
  * messages and the time are handed in. */
 #include "closures.h"
-#include "lease.h"
+#include "peer_clock.h"
 #include "quality.h"
 #include "server_calls.h"
 #include "wish.h"
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -83,7 +83,7 @@
 void
 dispatcher_server_clock (LeasedServer *server, gint64 told_ms, gint64 now_ms)
 {
-  peer_clock_hear (&server->clock, told_ms, now_ms);
+  peer_clock_observe (&server->clock, told_ms, now_ms);
 }
 
 void
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -143,7 +143,7 @@
 {
   gboolean closed = agent->zone != NULL && closures_has (agent->closures, agent->zone);
 
-  runner_close_zone (agent->runner, closed);
+  runner_set_zone_closed (agent->runner, closed);
 }
 
 static void
@@ -212,7 +212,7 @@
   if (closures_hear (agent->closures, frame, now))
     zones_changed (agent);
   if (frame->time != NULL && frame->time->granted_until_ms > 0)
-    runner_grant (agent->runner, peer->incarnation, frame->time->granted_until_ms);
+    runner_extend_lease (agent->runner, peer->incarnation, frame->time->granted_until_ms);
   for (gsize i = 0; i < frame->n_run_stops; i++)
     take_stop (agent, peer->incarnation, frame->run_stops[i], now);
   for (gsize i = 0; i < frame->n_run_orders; i++)
@@ -393,7 +393,7 @@
 void
 leased_agent_server_leaves (LeasedAgent *agent, const char *instance)
 {
-  runner_server_leaves (agent->runner, instance, clock_now_ms ());
+  runner_server_left (agent->runner, instance, clock_now_ms ());
 }
 
 void
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -223,7 +223,7 @@
     return;
   if (frame->time != NULL)
     {
-      peer_clock_hear (&peer->clock, frame->time->now_ms, clock_now_ms ());
+      peer_clock_observe (&peer->clock, frame->time->now_ms, clock_now_ms ());
       lateness_hear (&peer->heard, frame->time->now_ms, clock_now_ms ());
       peer->told_late_ms = frame->time->late_ms;
     }
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -3,8 +3,8 @@
  * seed addresses, from what linked entries tell, and from a directory when both fail. */
 #include "closures.h"
 #include "lateness.h"
-#include "lease.h"
 #include "link.h"
+#include "peer_clock.h"
 
 #include <sys/queue.h>
 
--- a/src/lease.c
+++ b/src/peer_clock.c
@@ -1,7 +1,7 @@
-#include "lease.h"
+#include "peer_clock.h"
 
 void
-peer_clock_hear (PeerClock *clock, gint64 told_ms, gint64 now_ms)
+peer_clock_observe (PeerClock *clock, gint64 told_ms, gint64 now_ms)
 {
   if (clock->heard_ms != 0 && told_ms < clock->told_ms)
     return;
--- a/src/lease.h
+++ b/src/peer_clock.h
@@ -11,8 +11,9 @@
   gint64 heard_ms; /* own clock when that arrived; 0: never */
 } PeerClock;
 
-/** peer_clock_hear - it said that its clock shows @told_ms. Older words are ignored. */
-void peer_clock_hear (PeerClock *clock, gint64 told_ms, gint64 now_ms);
+/** peer_clock_observe - it said that its clock shows @told_ms. Older words are ignored.
+ */
+void peer_clock_observe (PeerClock *clock, gint64 told_ms, gint64 now_ms);
 
 /** peer_clock_known - whether it ever told its time. */
 gboolean peer_clock_known (const PeerClock *clock);
--- a/src/runner.c
+++ b/src/runner.c
@@ -75,7 +75,7 @@
 runner_close (Runner *runner)
 {
   runner->life++;
-  runner->state = LIFE_UNKNOWN;
+  runner->state = INSTANCE_UNKNOWN;
 }
 
 Run *
@@ -140,7 +140,7 @@
 }
 
 gboolean
-runner_server_is_silent (const Runner *runner)
+runner_server_is_unresponsive (const Runner *runner)
 {
   return runner->unanswered >= SILENT_CALLS;
 }
@@ -157,9 +157,9 @@
 static const char *
 refusal (const Runner *runner, const RunRequest *request)
 {
-  if (runner->state != LIFE_READY)
+  if (runner->state != INSTANCE_READY)
     return "backend server not ready";
-  if (runner_server_is_silent (runner))
+  if (runner_server_is_unresponsive (runner))
     return "backend server is silent";
   if (runner->draining)
     return "agent is leaving";
@@ -239,7 +239,7 @@
 }
 
 void
-runner_grant (Runner *runner, guint64 entry, gint64 until_ms)
+runner_extend_lease (Runner *runner, guint64 entry, gint64 until_ms)
 {
   gint64 *until = g_hash_table_lookup (runner->entries, &entry);
 
@@ -300,7 +300,7 @@
               runner->n_runs, runner->now_ms - runner->clock.heard_ms);
   runner_lose_all (runner, REPORT_SERVER_ENDED, "backend server out of reach");
   runner->token++;
-  runner_set_state (runner, LIFE_CLEARING);
+  runner_set_state (runner, INSTANCE_CLEARING);
 }
 
 static void
@@ -331,18 +331,18 @@
 {
   runner->now_ms = now_ms;
   forget_past (runner);
-  if (runner->state == LIFE_UNKNOWN)
+  if (runner->state == INSTANCE_UNKNOWN)
     return;
   runner_check_cold (runner);
   tick_quality (runner);
   check_lapse (runner);
   stop_unleased (runner);
-  if (runner->state == LIFE_CLEARING || runner_must_settle (runner))
-    runner_send_settle (runner);
+  if (runner->state == INSTANCE_CLEARING || runner_must_reconcile (runner))
+    runner_send_reconcile (runner);
   if (look_is_due (runner))
-    runner_send_renewal (runner);
+    runner_send_poll (runner);
   watches_check (&runner->watches, now_ms);
-  runner_send_watch (runner);
+  runner_send_long_poll (runner);
 }
 
 void
@@ -353,7 +353,7 @@
 }
 
 void
-runner_close_zone (Runner *runner, gboolean closed)
+runner_set_zone_closed (Runner *runner, gboolean closed)
 {
   if (runner->zone_closed == closed)
     return;
@@ -370,7 +370,7 @@
 gboolean
 runner_ready (const Runner *runner)
 {
-  return runner->state == LIFE_READY;
+  return runner->state == INSTANCE_READY;
 }
 
 gboolean
@@ -398,7 +398,7 @@
 }
 
 const Quality *
-runner_quality (const Runner *runner)
+runner_server_health (const Runner *runner)
 {
   return &runner->quality;
 }
--- a/src/runner.h
+++ b/src/runner.h
@@ -87,15 +87,15 @@
  */
 gboolean runner_facts (Runner *runner, const ServerFacts *facts, gint64 now_ms);
 
-/** runner_server_leaves - that life of the backend server has ended in an orderly way. */
-void runner_server_leaves (Runner *runner, const char *instance, gint64 now_ms);
+/** runner_server_left - that life of the backend server has ended in an orderly way. */
+void runner_server_left (Runner *runner, const char *instance, gint64 now_ms);
 
 /** runner_start - start it now or report REPORT_NOT_STARTED. */
 void runner_start (Runner *runner, const RunRequest *request, gint64 now_ms);
 void runner_stop (Runner *runner, guint64 entry, const RunKey *key, gint64 now_ms);
 
-/** runner_grant - what @entry started may go on until then (own clock). */
-void runner_grant (Runner *runner, guint64 entry, gint64 until_ms);
+/** runner_extend_lease - what @entry started may go on until then (own clock). */
+void runner_extend_lease (Runner *runner, guint64 entry, gint64 until_ms);
 
 /** runner_tick - call it every RUNNER_TICK_MS. */
 void runner_tick (Runner *runner, gint64 now_ms);
@@ -104,8 +104,9 @@
 /** runner_drain - start nothing more. */
 void runner_drain (Runner *runner);
 
-/** runner_close_zone - the availability zone is closed: start nothing, or open again. */
-void runner_close_zone (Runner *runner, gboolean closed);
+/** runner_set_zone_closed - the availability zone is closed: start nothing, or open
+ * again. */
+void runner_set_zone_closed (Runner *runner, gboolean closed);
 gboolean runner_zone_is_closed (const Runner *runner);
 
 gboolean runner_ready (const Runner *runner);
@@ -113,7 +114,7 @@
 guint runner_count (const Runner *runner);
 const char *runner_instance (const Runner *runner);
 const Demand *runner_capacity (const Runner *runner);
-const Quality *runner_quality (const Runner *runner);
+const Quality *runner_server_health (const Runner *runner);
 
 const Demand *runner_used (const Runner *runner);
 
--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -79,7 +79,7 @@
 add_lease (Runner *runner, ServerCall *call)
 {
   runner->lease_sent_ms = runner->now_ms;
-  if (runner_server_is_silent (runner))
+  if (runner_server_is_unresponsive (runner))
     return;
   call->lease_until
       = peer_clock_least (&runner->clock, runner->now_ms, SERVER_CLOCK_SLOW_PERCENT)
@@ -101,10 +101,10 @@
     runner->call_ms
         += CALL_TIME_RATE * (reply->now_ms - cookie->sent_ms - runner->call_ms);
   if (reply->server_ms > 0)
-    peer_clock_hear (&runner->clock, reply->server_ms, runner->now_ms);
-  if (reply->end == CALL_OTHER_LIFE)
+    peer_clock_observe (&runner->clock, reply->server_ms, runner->now_ms);
+  if (reply->end == CALL_OTHER_INSTANCE)
     {
-      runner_forget_life (runner, REPORT_SERVER_ENDED, "backend server restarted");
+      runner_end_instance (runner, REPORT_SERVER_ENDED, "backend server restarted");
       return FALSE;
     }
   /* Another runner of this server has drawn a higher token, or an order of an earlier one
@@ -177,9 +177,9 @@
       break;
     case CALL_UNANSWERED:
       run->state = RUN_UNRESOLVED;
-      runner_send_settle (runner);
+      runner_send_reconcile (runner);
       break;
-    case CALL_OTHER_LIFE:
+    case CALL_OTHER_INSTANCE:
       break;
     }
 
@@ -238,7 +238,7 @@
       run_end (runner, run, REPORT_LOST,
                run->stop_reason != NULL ? run->stop_reason : "stopped");
       break;
-    case RUN_END_LAPSED:
+    case RUN_END_EXPIRED:
       run_end (runner, run, REPORT_LOST, "lease lapsed");
       break;
     case RUN_END_OTHER:
@@ -305,7 +305,7 @@
 {
   if (reply->n_running == 0)
     {
-      runner_set_state (runner, LIFE_READY);
+      runner_set_state (runner, INSTANCE_READY);
       return;
     }
   for (gsize i = 0; i < reply->n_running; i++)
@@ -313,7 +313,7 @@
 }
 
 gboolean
-runner_must_settle (const Runner *runner)
+runner_must_reconcile (const Runner *runner)
 {
   const Run *run;
 
@@ -337,21 +337,22 @@
     goto out;
   if (reply->end != CALL_DONE)
     {
-      if (cookie->settle && runner_must_settle (runner)
+      if (cookie->settle && runner_must_reconcile (runner)
           && runner->unanswered < SETTLE_AT_ONCE_CALLS)
-        runner_send_settle (runner);
+        runner_send_reconcile (runner);
       goto out;
     }
   runner->listed_ms = runner->now_ms;
   if (take_ends (runner, reply))
     watches_saw_end (&runner->watches, runner->now_ms);
   runner_take_progress (runner, reply);
-  if (cookie->settle && runner->state == LIFE_CLEARING && cookie->token == runner->token)
+  if (cookie->settle && runner->state == INSTANCE_CLEARING
+      && cookie->token == runner->token)
     clear_strangers (runner, reply);
   else if (cookie->settle)
     settle_runs (runner, reply, cookie->token);
   watches_check (&runner->watches, runner->now_ms);
-  runner_send_watch (runner);
+  runner_send_long_poll (runner);
 
 out:
   g_free (cookie);
@@ -372,20 +373,20 @@
 }
 
 void
-runner_send_watch (Runner *runner)
+runner_send_long_poll (Runner *runner)
 {
   guint64 number;
 
-  if (runner->state == LIFE_UNKNOWN)
+  if (runner->state == INSTANCE_UNKNOWN)
     return;
-  while ((number = watches_next (&runner->watches, runner_server_is_silent (runner),
+  while ((number = watches_next (&runner->watches, runner_server_is_unresponsive (runner),
                                  runner->now_ms))
          != 0)
     send_watch (runner, number);
 }
 
 void
-runner_send_renewal (Runner *runner)
+runner_send_poll (Runner *runner)
 {
   ServerCall call
       = server_call (runner, LONG_TIMEOUT_MS, on_hold_reply, cookie_new (runner));
@@ -409,7 +410,7 @@
 }
 
 void
-runner_send_settle (Runner *runner)
+runner_send_reconcile (Runner *runner)
 {
   Cookie *cookie;
   ServerCall call;
--- a/src/runner_life.c
+++ b/src/runner_instance.c
@@ -5,16 +5,16 @@
 #include <string.h>
 
 void
-runner_set_state (Runner *runner, LifeState state)
+runner_set_state (Runner *runner, InstanceState state)
 {
   if (runner->state == state)
     return;
   runner->state = state;
   event_emit ("server-state", "-", "server=%s state=%s token=%" G_GUINT64_FORMAT,
               runner->instance != NULL ? runner->instance : "-",
-              state == LIFE_READY      ? "ready"
-              : state == LIFE_CLEARING ? "clearing"
-                                       : "unknown",
+              state == INSTANCE_READY      ? "ready"
+              : state == INSTANCE_CLEARING ? "clearing"
+                                           : "unknown",
               runner->token);
   runner->ops->changed (runner->ctx);
 }
@@ -29,7 +29,7 @@
 }
 
 void
-runner_forget_life (Runner *runner, ReportKind kind, const char *reason)
+runner_end_instance (Runner *runner, ReportKind kind, const char *reason)
 {
   if (runner->instance == NULL)
     return;
@@ -38,7 +38,7 @@
   runner->life++;
   watches_forget (&runner->watches);
   runner->settling = FALSE;
-  runner_set_state (runner, LIFE_UNKNOWN);
+  runner_set_state (runner, INSTANCE_UNKNOWN);
 }
 
 static gboolean
@@ -80,7 +80,7 @@
 static void
 begin_life (Runner *runner, const ServerFacts *facts)
 {
-  runner_forget_life (runner, REPORT_SERVER_ENDED, "backend server restarted");
+  runner_end_instance (runner, REPORT_SERVER_ENDED, "backend server restarted");
   runner->instance = g_strdup (facts->instance);
   runner->life++;
   runner->sequence = 0;
@@ -91,7 +91,7 @@
   quality_init (&runner->quality);
   runner->leased_until = 0;
   memset (&runner->clock, 0, sizeof runner->clock);
-  runner_set_state (runner, LIFE_CLEARING);
+  runner_set_state (runner, INSTANCE_CLEARING);
 }
 
 gboolean
@@ -108,7 +108,7 @@
   if (new_life)
     begin_life (runner, facts);
   runner->sequence = facts->sequence;
-  peer_clock_hear (&runner->clock, facts->server_ms, now_ms);
+  peer_clock_observe (&runner->clock, facts->server_ms, now_ms);
   changed = new_life || runner->server_draining != facts->draining
             || memcmp (&runner->capacity, &facts->capacity, sizeof facts->capacity) != 0;
   runner->capacity = facts->capacity;
@@ -123,14 +123,14 @@
   if (changed)
     runner->ops->changed (runner->ctx);
   if (new_life)
-    runner_send_settle (runner);
+    runner_send_reconcile (runner);
   return TRUE;
 }
 
 void
-runner_server_leaves (Runner *runner, const char *instance, gint64 now_ms)
+runner_server_left (Runner *runner, const char *instance, gint64 now_ms)
 {
   runner->now_ms = now_ms;
   if (g_strcmp0 (runner->instance, instance) == 0)
-    runner_forget_life (runner, REPORT_LOST, "backend server left");
+    runner_end_instance (runner, REPORT_LOST, "backend server left");
 }
--- a/src/runner_parts.h
+++ b/src/runner_parts.h
@@ -1,8 +1,8 @@
 #pragma once
-/* What the parts of the runner share. runner.c keeps the runs and decides, runner_life.c
- * follows the lives of the backend server, runner_calls.c calls it and takes its answers
- * in, runner_progress.c judges it by what they tell. */
-#include "lease.h"
+/* What the parts of the runner share. runner.c keeps the runs and decides,
+ * runner_instance.c follows the lives of the backend server, runner_calls.c calls it and
+ * takes its answers in, runner_progress.c judges it by what they tell. */
+#include "peer_clock.h"
 #include "runner.h"
 #include "watches.h"
 
@@ -53,10 +53,10 @@
 
 typedef enum
 {
-  LIFE_UNKNOWN,  /* the server has not been heard of */
-  LIFE_CLEARING, /* what runs there is not known: it must end first */
-  LIFE_READY,
-} LifeState;
+  INSTANCE_UNKNOWN,  /* the server has not been heard of */
+  INSTANCE_CLEARING, /* what runs there is not known: it must end first */
+  INSTANCE_READY,
+} InstanceState;
 
 struct Runner
 {
@@ -71,7 +71,7 @@
   char *instance;
   char **past_instances;
   guint life; /* counts the lives seen, so that answers of earlier ones are told apart */
-  LifeState state;
+  InstanceState state;
   guint64 sequence;
   guint64 token;
   guint64 ends_seen;
@@ -99,8 +99,8 @@
 void run_end (Runner *runner, Run *run, ReportKind kind, const char *reason);
 void runner_lose_all (Runner *runner, ReportKind kind, const char *reason);
 
-/** runner_server_is_silent - several calls in a row got no answer. */
-gboolean runner_server_is_silent (const Runner *runner);
+/** runner_server_is_unresponsive - several calls in a row got no answer. */
+gboolean runner_server_is_unresponsive (const Runner *runner);
 
 /* runner_progress.c */
 
@@ -110,24 +110,24 @@
 /** runner_take_progress - what a list of running tasks tells about each. */
 void runner_take_progress (Runner *runner, const CallReply *reply);
 
-/* runner_life.c */
-void runner_set_state (Runner *runner, LifeState state);
+/* runner_instance.c */
+void runner_set_state (Runner *runner, InstanceState state);
 
 /** runner_check_cold - see whether the server is slower now than it will be. */
 void runner_check_cold (Runner *runner);
 
-/** runner_forget_life - what ran there ends as @kind. */
-void runner_forget_life (Runner *runner, ReportKind kind, const char *reason);
+/** runner_end_instance - what ran there ends as @kind. */
+void runner_end_instance (Runner *runner, ReportKind kind, const char *reason);
 
 /* runner_calls.c */
 void runner_send_start (Runner *runner, Run *run);
 void runner_send_stop (Runner *runner, const RunKey *key);
-void runner_send_watch (Runner *runner);
-void runner_send_renewal (Runner *runner);
+void runner_send_long_poll (Runner *runner);
+void runner_send_poll (Runner *runner);
 
-/** runner_must_settle - whether the fate of a start is not known. */
-gboolean runner_must_settle (const Runner *runner);
+/** runner_must_reconcile - whether the fate of a start is not known. */
+gboolean runner_must_reconcile (const Runner *runner);
 
-/** runner_send_settle - raise the fencing token where that is needed, then ask what runs:
- * what is not listed then never runs. */
-void runner_send_settle (Runner *runner);
+/** runner_send_reconcile - raise the fencing token where that is needed, then ask what
+ * runs: what is not listed then never runs. */
+void runner_send_reconcile (Runner *runner);
--- a/src/server_calls.h
+++ b/src/server_calls.h
@@ -26,9 +26,9 @@
   CALL_LATE,       /* refused: its lease would have lapsed already */
   CALL_NO_ROOM,    /* refused by the server's own guard */
   CALL_UNHEALTHY,  /* refused; nothing was done */
-  CALL_OTHER_LIFE, /* refused: the backend server has restarted */
-  CALL_REJECTED,   /* refused as malformed */
-  CALL_UNANSWERED, /* it may have been carried out, or may be later */
+  CALL_OTHER_INSTANCE, /* refused: the backend server has restarted */
+  CALL_REJECTED,       /* refused as malformed */
+  CALL_UNANSWERED,     /* it may have been carried out, or may be later */
 } CallEnd;
 
 typedef enum
@@ -36,7 +36,7 @@
   RUN_END_DONE,
   RUN_END_FAILED,
   RUN_END_STOPPED,
-  RUN_END_LAPSED,
+  RUN_END_EXPIRED,
   RUN_END_OTHER,
 } RunEnd;
 
--- a/tests/lease_server.c
+++ b/tests/lease_server.c
@@ -186,7 +186,7 @@
   int i;
 
   if (strcmp (order->instance, server->instance) != 0)
-    return CALL_OTHER_LIFE;
+    return CALL_OTHER_INSTANCE;
   if (order->call.token < server->token)
     return CALL_FENCED;
   server->token = order->call.token;
@@ -226,7 +226,7 @@
       if (task->stops_at != 0 && now >= task->stops_at)
         end_task (server, i - 1, RUN_END_STOPPED);
       else if (now > server->lease)
-        end_task (server, i - 1, RUN_END_LAPSED);
+        end_task (server, i - 1, RUN_END_EXPIRED);
       else if (now >= task->ends)
         end_task (server, i - 1,
                   g_rand_double (server->rand) < FAILS ? RUN_END_FAILED : RUN_END_DONE);
--- a/tests/lease_world.c
+++ b/tests/lease_world.c
@@ -411,7 +411,7 @@
   wire->heard_by_entry = wire->heard_by_agent = world->now;
   wire->sent_by_entry = wire->sent_by_agent = 0;
   memset (&wire->agent_clock, 0, sizeof wire->agent_clock);
-  peer_clock_hear (&wire->agent_clock, clock_of (wire->agent), clock_of (wire->entry));
+  peer_clock_observe (&wire->agent_clock, clock_of (wire->agent), clock_of (wire->entry));
   wire->record = dispatcher_server_up (wire->entry->dispatcher, wire->agent->incarnation,
                                        name, wire);
   dispatcher_server_clock (wire->record, clock_of (wire->agent), clock_of (wire->entry));
@@ -444,7 +444,7 @@
 fill_status (Wire *wire, Message *message)
 {
   Runner *runner = wire->agent->runner;
-  const Quality *quality = runner_quality (runner);
+  const Quality *quality = runner_server_health (runner);
 
   if (!message->status || runner_instance (runner) == NULL)
     {
@@ -509,7 +509,7 @@
   gint64 now = clock_of (agent);
 
   if (message->granted_until > 0)
-    runner_grant (agent->runner, wire->entry->incarnation, message->granted_until);
+    runner_extend_lease (agent->runner, wire->entry->incarnation, message->granted_until);
   for (guint i = 0; i < message->stops->len; i++)
     runner_stop (agent->runner, wire->entry->incarnation,
                  &g_array_index (message->stops, RunKey, i), now);
@@ -522,7 +522,7 @@
 {
   gint64 now = clock_of (wire->entry);
 
-  peer_clock_hear (&wire->agent_clock, message->sender_ms, now);
+  peer_clock_observe (&wire->agent_clock, message->sender_ms, now);
   dispatcher_server_clock (wire->record, message->sender_ms, now);
   if (message->status)
     {
--- a/tests/test-runner.c
+++ b/tests/test-runner.c
@@ -223,7 +223,7 @@
   tell_facts (scene, "one", 1, FALSE);
   answer (scene, open_settle (scene), CALL_DONE);
   g_assert_true (runner_ready (scene->runner));
-  runner_grant (scene->runner, ENTRY, scene->now + 60000);
+  runner_extend_lease (scene->runner, ENTRY, scene->now + 60000);
   runner_tick (scene->runner, scene->now);
 }
 
@@ -363,7 +363,7 @@
       answer (scene, open_call (scene, CALLED_START), CALL_UNANSWERED);
       answer (scene, open_settle (scene), CALL_DONE);
     }
-  g_assert_cmpint (runner_quality (scene->runner)->trust, ==, TRUST_NONE);
+  g_assert_cmpint (runner_server_health (scene->runner)->trust, ==, TRUST_NONE);
 }
 
 static void
@@ -431,7 +431,7 @@
   guint stops = 0;
 
   scene_ready (scene);
-  runner_grant (scene->runner, OTHER_ENTRY, scene->now + 300);
+  runner_extend_lease (scene->runner, OTHER_ENTRY, scene->now + 300);
   ask_start (scene, OTHER_ENTRY, "j", 1000);
   answer (scene, open_call (scene, CALLED_START), CALL_DONE);
   pass (scene, 250);
@@ -590,7 +590,7 @@
 {
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  answer (scene, open_watch (scene), CALL_OTHER_LIFE);
+  answer (scene, open_watch (scene), CALL_OTHER_INSTANCE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_SERVER_ENDED);
   g_assert_false (runner_ready (scene->runner));
 }
@@ -614,7 +614,7 @@
   start_running (scene, "j", 1000);
   ask_start (scene, ENTRY, "j", 1000);
   g_assert_cmpuint (scene->n_reports, ==, 1);
-  runner_grant (scene->runner, OTHER_ENTRY, scene->now + 1000);
+  runner_extend_lease (scene->runner, OTHER_ENTRY, scene->now + 1000);
   g_assert_cmpuint (runner_used_by_others (scene->runner, OTHER_ENTRY).cpu_milli, ==,
                     1000);
   g_assert_cmpuint (runner_used_by_others (scene->runner, ENTRY).cpu_milli, ==, 0);
@@ -651,7 +651,7 @@
     }
   g_assert_cmpuint (scene->stragglers, >, 0);
   g_assert_cmpuint (scene->remaining_ms, >, 10000);
-  g_assert_cmpint (runner_quality (scene->runner)->trust, ==, TRUST_NONE);
+  g_assert_cmpint (runner_server_health (scene->runner)->trust, ==, TRUST_NONE);
 }
 
 /* A task that is just longer than declared is no straggler: it would be so anywhere. */
@@ -666,7 +666,7 @@
       list_running (scene, open_settle (scene), "j", 5 * (i + 1));
     }
   g_assert_cmpuint (scene->stragglers, ==, 0);
-  g_assert_cmpint (runner_quality (scene->runner)->trust, ==, TRUST_FULL);
+  g_assert_cmpint (runner_server_health (scene->runner)->trust, ==, TRUST_FULL);
 }
 
 /* What each answer takes, and how many calls may be lost to find that out. */
@@ -850,12 +850,12 @@
       list_end (scene, open_watch (scene), "j", RUN_END_DONE);
       g_assert_cmpuint (scene->last_run_ms, ==, 0);
     }
-  g_assert_cmpfloat (runner_quality (scene->runner)->slowness, >, 1.2);
+  g_assert_cmpfloat (runner_server_health (scene->runner)->slowness, >, 1.2);
   pass (scene, COLD_MS);
-  g_assert_cmpfloat (runner_quality (scene->runner)->slowness, ==, 1);
+  g_assert_cmpfloat (runner_server_health (scene->runner)->slowness, ==, 1);
   /* Cold again, it is taken to be as slow as it was. */
   tell_cold (scene, 3, COLD_MS);
-  g_assert_cmpfloat (runner_quality (scene->runner)->slowness, >, 1.2);
+  g_assert_cmpfloat (runner_server_health (scene->runner)->slowness, >, 1.2);
 }
 
 /* The operator takes the machines of the zone away. Guards against an entry that has not
@@ -867,14 +867,14 @@
 
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  runner_close_zone (scene->runner, TRUE);
+  runner_set_zone_closed (scene->runner, TRUE);
   calls = scene->n_calls;
   ask_start (scene, ENTRY, "k", 1000);
   g_assert_cmpuint (scene->n_calls, ==, calls);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_NOT_STARTED);
   g_assert_cmpstr (last_report (scene)->reason, ==, "availability zone is closed");
   g_assert_cmpuint (runner_count (scene->runner), ==, 1);
-  runner_close_zone (scene->runner, FALSE);
+  runner_set_zone_closed (scene->runner, FALSE);
   start_running (scene, "l", 1000);
 }
 
