--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -108,7 +108,7 @@
 mutant waits-in-lost-group src/holder_outcomes.c 'group_stands (holder, from) ? from->group : NULL' \
   'from->group' test-path /path/regroup-under-load
 mutant unleased-go-on src/runner.c \
-  'else if (runner->now_ms > granted_until (runner, run->entry))' 'else if (FALSE)' \
+  'else if (runner->now_ms > lease_until (runner, run->entry))' 'else if (FALSE)' \
   test-runner /runner/lapsed-entry-is-stopped
 mutant strangers-ignored src/runner_calls.c 'if (reply->n_running == 0)' 'if (TRUE)' \
   test-runner /runner/strangers-end-first
@@ -147,7 +147,7 @@
       if (i >= 0)' 'case ZONE_OPEN:
       if (FALSE)' test-closures /closures/words/closed-then-opened
 mutant settled-without-end src/runner_calls.c '
-          && runner->unanswered < SETTLE_AT_ONCE_CALLS' '' \
+          && runner->unanswered < RECONCILE_RETRIES' '' \
   test-runner /runner/refusing-server-is-not-stormed
 mutant cold-run-teaches src/runner.c 'run->started_ms > 0 && !runner->cold' \
   'run->started_ms > 0' test-runner /runner/cold-server-is-no-slow-one
--- a/src/runner.c
+++ b/src/runner.c
@@ -5,16 +5,17 @@
 
 #include <string.h>
 
-/* While something runs the server is looked at this often; each look renews its lease. A
- * hung task of 60 ms is found while it can still be run elsewhere in time. */
-#define LOOK_MS 100
-/* Calls in a row without an answer: single ones go astray. With looks 100 ms apart and
- * 150 ms to answer, a server is called silent after about 350 ms. */
-#define SILENT_CALLS 3
-/* A stop whose end is not listed by then is sent again. */
-#define STOP_AGAIN_MS 100
-/* A entry whose link broke is back within its lease or has given the run up. */
-#define PAST_RUNS_MS 3000
+/* How often the server is polled while something runs; each poll renews its lease. A hung
+ * task of 60 ms is found while it can still be run elsewhere in time. */
+#define POLL_MS 100
+/* After so many unanswered calls in a row the server is unresponsive; single ones get
+ * lost. With polls every 100 ms and 150 ms to answer, that takes about 350 ms. */
+#define UNRESPONSIVE_CALLS 3
+/* A stop is resent until the end of the run is listed. */
+#define STOP_RESEND_MS 100
+/* How long ended runs are kept: an entry whose link broke reconnects within its lease or
+ * has given them up. */
+#define PAST_RUN_MS 3000
 
 static const char *const report_names[]
     = { "started", "not-started", "done", "failed", "lost", "straggles", "server-ended" };
@@ -27,7 +28,8 @@
   runner->init = *init;
   runner->ops = ops;
   runner->ctx = ctx;
-  runner->entries = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  runner->entry_leases
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   runner->past_instances = g_new0 (char *, PAST_INSTANCES);
   TAILQ_INIT (&runner->runs);
   TAILQ_INIT (&runner->past);
@@ -66,7 +68,7 @@
   for (guint i = 0; i < PAST_INSTANCES; i++)
     g_free (runner->past_instances[i]);
   g_free (runner->past_instances);
-  g_hash_table_unref (runner->entries);
+  g_hash_table_unref (runner->entry_leases);
   g_free (runner->instance);
   g_free (runner);
 }
@@ -74,7 +76,7 @@
 void
 runner_close (Runner *runner)
 {
-  runner->life++;
+  runner->instance_count++;
   runner->state = INSTANCE_UNKNOWN;
 }
 
@@ -101,7 +103,7 @@
 }
 
 static void
-tell (Runner *runner, guint64 entry, const RunReport *report)
+emit_report (Runner *runner, guint64 entry, const RunReport *report)
 {
   event_emit ("task-report", report->key.job,
               "task=%u run=%u outcome=%s reason=\"%s\" run_ms=%u server=%s",
@@ -119,14 +121,14 @@
   past->report.key = run->key;
   past->report.kind = kind;
   past->report.reason = reason;
-  /* What a cold server takes for it says nothing about the task. */
+  /* The run time on a cold server is no measure of the task. */
   if (run->started_ms > 0 && !runner->cold)
     past->report.run_ms = (guint)MAX (runner->now_ms - run->started_ms, 1);
   past->entry = run->entry;
   past->ended_ms = runner->now_ms;
   TAILQ_INSERT_TAIL (&runner->past, past, link);
   run_free (runner, run);
-  tell (runner, past->entry, &past->report);
+  emit_report (runner, past->entry, &past->report);
   runner->ops->changed (runner->ctx);
 }
 
@@ -142,18 +144,18 @@
 gboolean
 runner_server_is_unresponsive (const Runner *runner)
 {
-  return runner->unanswered >= SILENT_CALLS;
+  return runner->unanswered >= UNRESPONSIVE_CALLS;
 }
 
 static gint64
-granted_until (const Runner *runner, guint64 entry)
+lease_until (const Runner *runner, guint64 entry)
 {
-  gint64 *until = g_hash_table_lookup (runner->entries, &entry);
+  gint64 *until = g_hash_table_lookup (runner->entry_leases, &entry);
 
   return until != NULL ? *until : 0;
 }
 
-/* Return: NULL, or why the start must be refused, room aside. */
+/* Return: NULL, or why the start must be refused, capacity aside. */
 static const char *
 refusal (const Runner *runner, const RunRequest *request)
 {
@@ -169,7 +171,7 @@
     return "availability zone is closed";
   if (runner->now_ms > request->valid_until_ms)
     return "order too old";
-  if (runner->now_ms > granted_until (runner, request->entry))
+  if (runner->now_ms > lease_until (runner, request->entry))
     return "entry's lease has lapsed";
   if (find_any_run (runner, &request->key) != NULL)
     return "another run of the task is here";
@@ -196,7 +198,7 @@
     {
       RunReport refused = { request->key, REPORT_NOT_STARTED, reason };
 
-      tell (runner, request->entry, &refused);
+      emit_report (runner, request->entry, &refused);
       return;
     }
   run = g_new0 (Run, 1);
@@ -214,7 +216,7 @@
 }
 
 static void
-want_stop (Runner *runner, Run *run, const char *reason)
+stop_run (Runner *runner, Run *run, const char *reason)
 {
   if (run->stop_reason == NULL)
     {
@@ -222,7 +224,7 @@
       event_emit ("task-stopping", run->key.job, "task=%u run=%u reason=\"%s\"",
                   run->key.index, run->key.run, reason);
     }
-  if (run->state != RUN_RUNNING || runner->now_ms - run->stop_sent_ms < STOP_AGAIN_MS)
+  if (run->state != RUN_RUNNING || runner->now_ms - run->stop_sent_ms < STOP_RESEND_MS)
     return;
   run->stop_sent_ms = runner->now_ms;
   runner_send_stop (runner, &run->key);
@@ -235,23 +237,23 @@
 
   runner->now_ms = now_ms;
   if (run != NULL && run->entry == entry)
-    want_stop (runner, run, "stopped by its entry");
+    stop_run (runner, run, "stopped by its entry");
 }
 
 void
 runner_extend_lease (Runner *runner, guint64 entry, gint64 until_ms)
 {
-  gint64 *until = g_hash_table_lookup (runner->entries, &entry);
+  gint64 *until = g_hash_table_lookup (runner->entry_leases, &entry);
 
   if (until != NULL)
     *until = MAX (*until, until_ms);
   else
-    g_hash_table_insert (runner->entries, g_memdup2 (&entry, sizeof entry),
+    g_hash_table_insert (runner->entry_leases, g_memdup2 (&entry, sizeof entry),
                          g_memdup2 (&until_ms, sizeof until_ms));
 }
 
-/* A entry that was killed, frozen or cut off no longer answers for its runs, and their
- * jobs may be started anew elsewhere: what it does not lease any more is stopped. */
+/* The jobs of an entry that was killed, frozen or cut off may be started anew elsewhere:
+ * its runs are stopped once it no longer extends their lease. */
 static void
 stop_unleased (Runner *runner)
 {
@@ -260,88 +262,88 @@
   TAILQ_FOREACH (run, &runner->runs, link)
     {
       if (run->stop_reason != NULL)
-        want_stop (runner, run, run->stop_reason);
-      else if (runner->now_ms > granted_until (runner, run->entry))
-        want_stop (runner, run, "entry's lease lapsed");
+        stop_run (runner, run, run->stop_reason);
+      else if (runner->now_ms > lease_until (runner, run->entry))
+        stop_run (runner, run, "entry's lease lapsed");
     }
 }
 
 static gboolean
-entry_is_over (gpointer key, gpointer value, gpointer ctx)
+entry_lease_is_old (gpointer key, gpointer value, gpointer ctx)
 {
   const Runner *runner = ctx;
 
-  return runner->now_ms - *(gint64 *)value > PAST_RUNS_MS;
+  return runner->now_ms - *(gint64 *)value > PAST_RUN_MS;
 }
 
 static void
-forget_past (Runner *runner)
+forget_past_runs (Runner *runner)
 {
   PastRun *past;
 
   while ((past = TAILQ_FIRST (&runner->past)) != NULL
-         && runner->now_ms - past->ended_ms > PAST_RUNS_MS)
+         && runner->now_ms - past->ended_ms > PAST_RUN_MS)
     past_free (runner, past);
-  g_hash_table_foreach_remove (runner->entries, entry_is_over, runner);
+  g_hash_table_foreach_remove (runner->entry_leases, entry_lease_is_old, runner);
 }
 
-/* The server has not answered for longer than its lease: it has killed everything, or is
- * down. What runs there when it answers again must be looked at first. */
+/* A server that has not answered for longer than its lease has killed all its runs, or is
+ * down. When it answers again, what runs there must be listed first. */
 static void
-check_lapse (Runner *runner)
+check_server_lease (Runner *runner)
 {
   gint64 server_ms
       = peer_clock_least (&runner->clock, runner->now_ms, SERVER_CLOCK_SLOW_PERCENT);
 
-  if (runner->n_runs == 0 || server_ms <= runner->leased_until)
+  if (runner->n_runs == 0 || server_ms <= runner->server_lease_until)
     return;
   event_emit ("server-lease-lapsed", "-",
               "server=%s runs=%u answer_age_ms=%" G_GINT64_FORMAT, runner->instance,
-              runner->n_runs, runner->now_ms - runner->clock.heard_ms);
+              runner->n_runs, runner->now_ms - runner->clock.received_ms);
   runner_lose_all (runner, REPORT_SERVER_ENDED, "backend server out of reach");
   runner->token++;
   runner_set_state (runner, INSTANCE_CLEARING);
 }
 
 static void
-tick_quality (Runner *runner)
+tick_server_health (Runner *runner)
 {
-  Trust before = runner->quality.trust;
+  Trust before = runner->server_health.trust;
 
   if (runner->n_runs == 0)
-    runner->quality.stalls = 0;
-  quality_tick (&runner->quality, runner->now_ms);
-  if (runner->quality.trust != before)
+    runner->server_health.stalls = 0;
+  quality_tick (&runner->server_health, runner->now_ms);
+  if (runner->server_health.trust != before)
     runner->ops->changed (runner->ctx);
 }
 
-/* Starts renew the lease too, but tell nothing of what runs. When only the lease made a
- * look due, and the answer that would have told of ends was lost, a loaded server's ends
- * were not seen for up to 1.3 s. */
+/* Starts renew the lease too, but their answers list no runs. When polls were due by the
+ * lease alone, ends on a loaded server went unseen for up to 1.3 s if the answer that
+ * listed them was lost. */
 static gboolean
-look_is_due (const Runner *runner)
+poll_is_due (const Runner *runner)
 {
   gint64 last_ms = MIN (runner->lease_sent_ms, runner->listed_ms);
 
-  return runner->n_runs > 0 && runner->now_ms - last_ms >= LOOK_MS;
+  return runner->n_runs > 0 && runner->now_ms - last_ms >= POLL_MS;
 }
 
 void
 runner_tick (Runner *runner, gint64 now_ms)
 {
   runner->now_ms = now_ms;
-  forget_past (runner);
+  forget_past_runs (runner);
   if (runner->state == INSTANCE_UNKNOWN)
     return;
   runner_check_cold (runner);
-  tick_quality (runner);
-  check_lapse (runner);
+  tick_server_health (runner);
+  check_server_lease (runner);
   stop_unleased (runner);
   if (runner->state == INSTANCE_CLEARING || runner_must_reconcile (runner))
     runner_send_reconcile (runner);
-  if (look_is_due (runner))
+  if (poll_is_due (runner))
     runner_send_poll (runner);
-  watches_check (&runner->watches, now_ms);
+  watches_check (&runner->long_polls, now_ms);
   runner_send_long_poll (runner);
 }
 
@@ -400,7 +402,7 @@
 const Quality *
 runner_server_health (const Runner *runner)
 {
-  return &runner->quality;
+  return &runner->server_health;
 }
 
 const Demand *
--- a/src/runner.h
+++ b/src/runner.h
@@ -1,8 +1,8 @@
 #pragma once
-/* The runner: alone starts and stops tasks on one backend server. It keeps the server
- * within its capacity, holds its lease, fences orders that went astray, and stops what
- * nobody leases any more. No I/O of its own: calls go through ServerCalls, the time is
- * handed in. */
+/* The only component that starts and stops tasks on one backend server. It keeps the
+ * server within its capacity, renews its lease, fences unanswered starts, and stops runs
+ * whose entry no longer extends their lease. No I/O of its own: calls go through
+ * ServerCalls, the time is handed in. */
 #include "quality.h"
 #include "server_calls.h"
 #include "wish.h"
@@ -12,46 +12,46 @@
 typedef enum
 {
   REPORT_STARTED,
-  REPORT_NOT_STARTED, /* proved: it never runs under this number */
+  REPORT_NOT_STARTED, /* proved: it never runs under this run number */
   REPORT_DONE,
   REPORT_FAILED,
   REPORT_LOST,
   REPORT_STRAGGLES,    /* it runs, but much longer than expected */
-  REPORT_SERVER_ENDED, /* the backend server ended or fell silent under it */
+  REPORT_SERVER_ENDED, /* the backend server exited or stopped responding */
 } ReportKind;
 
 typedef struct
 {
   RunKey key;
   ReportKind kind;
-  const char *reason; /* a constant; empty if there is nothing to say */
+  const char *reason; /* a static string; may be empty */
   guint run_ms;       /* of a run that is done; 0: on a cold server */
 } RunReport;
 
-/* A start that an entry asks for. */
+/* A start that an entry orders. */
 typedef struct
 {
-  guint64 entry; /* incarnation of the process that asks */
+  guint64 entry; /* incarnation of the ordering process */
   RunKey key;
   const char *payload;
   Demand demand;
   guint expected_ms;     /* its run time */
-  Wish wish;             /* what waits where it comes from */
+  Wish wish;             /* what else waits at that entry */
   gint64 valid_until_ms; /* own clock; later it is refused */
 } RunRequest;
 
-/* What the backend server says of itself. */
+/* The backend server's own heartbeat report. */
 typedef struct
 {
-  const char *instance; /* this life of it */
+  const char *instance; /* one process lifetime of the server */
   const char *service;
   const char *zone;
   const char *const *labels; /* NULL-terminated */
   Demand capacity;
   gboolean draining;
-  guint cold_ms;    /* it runs slower for this much longer, after its start */
+  guint cold_ms;    /* it has just started and runs slower for this much longer */
   gint64 server_ms; /* its clock */
-  guint64 sequence; /* counts the reports of one life */
+  guint64 sequence; /* counts the reports of one instance */
 } ServerFacts;
 
 typedef struct
@@ -64,7 +64,7 @@
                      guint remaining_ms,
                      guint elsewhere_ms,
                      gpointer ctx);
-  /* @entry asked for a start and there was no room. */
+  /* A start of @entry was refused for lack of free capacity. */
   void (*no_room) (guint64 entry, const Wish *wish, gpointer ctx);
   /* Readiness, capacity or use have changed. */
   void (*changed) (gpointer ctx);
@@ -74,27 +74,26 @@
 {
   const ServerCalls *calls;
   gpointer server; /* handed to the calls */
-  guint lease_ms;  /* of the backend server; longer ones it would cut */
+  guint lease_ms;  /* of the backend server, which cuts longer ones to this */
 } RunnerInit;
 
 Runner *runner_new (const RunnerInit *init, const RunnerOps *ops, gpointer ctx);
 void runner_free (Runner *runner);
 
-/** runner_close - answers that are still under way are ignored, no calls follow. */
+/** runner_close - make no more calls and ignore outstanding answers. */
 void runner_close (Runner *runner);
 
-/** runner_facts - a report of the backend server. Return: FALSE if it is an outdated one.
- */
+/** runner_facts - a heartbeat report of the server. Return: FALSE if it is outdated. */
 gboolean runner_facts (Runner *runner, const ServerFacts *facts, gint64 now_ms);
 
-/** runner_server_left - that life of the backend server has ended in an orderly way. */
+/** runner_server_left - @instance of the backend server has shut down in order. */
 void runner_server_left (Runner *runner, const char *instance, gint64 now_ms);
 
 /** runner_start - start it now or report REPORT_NOT_STARTED. */
 void runner_start (Runner *runner, const RunRequest *request, gint64 now_ms);
 void runner_stop (Runner *runner, guint64 entry, const RunKey *key, gint64 now_ms);
 
-/** runner_extend_lease - what @entry started may go on until then (own clock). */
+/** runner_extend_lease - the runs of @entry may go on until @until_ms (own clock). */
 void runner_extend_lease (Runner *runner, guint64 entry, gint64 until_ms);
 
 /** runner_tick - call it every RUNNER_TICK_MS. */
@@ -104,8 +103,7 @@
 /** runner_drain - start nothing more. */
 void runner_drain (Runner *runner);
 
-/** runner_set_zone_closed - the availability zone is closed: start nothing, or open
- * again. */
+/** runner_set_zone_closed - start nothing while the availability zone is closed. */
 void runner_set_zone_closed (Runner *runner, gboolean closed);
 gboolean runner_zone_is_closed (const Runner *runner);
 
@@ -118,13 +116,13 @@
 
 const Demand *runner_used (const Runner *runner);
 
-/** runner_used_by_others - room taken by runs that @entry did not order. */
+/** runner_used_by_others - capacity taken by runs that @entry did not order. */
 Demand runner_used_by_others (const Runner *runner, guint64 entry);
 
-/** runner_has_work - whether runs of @entry are there. */
+/** runner_has_work - whether any run of @entry is on the server. */
 gboolean runner_has_work (const Runner *runner, guint64 entry);
 
-/** runner_each_run - every run of @entry and each that ended a short while ago. */
+/** runner_each_run - every run of @entry, also those that ended in the last 3 s. */
 void runner_each_run (const Runner *runner,
                       guint64 entry,
                       void (*each) (const RunReport *report, gpointer ctx),
--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -4,37 +4,36 @@
 
 #include <string.h>
 
-/* A start is answered within a few ms on the server's own VM; a task's latency objective
- * leaves about 90 ms for tries at the shortest, so that an astray one is settled well
- * before that. Where the VM is slow, its usual answers take longer, and so does the wait
- * for them. */
+/* Timeout of a start: TIMEOUT_FACTOR times the mean answer time, within these limits. On
+ * the server's own VM a start is answered within a few ms; the shortest latency objective
+ * leaves about 90 ms for attempts, so a lost start must be resolved well before that. */
 #define SHORT_TIMEOUT_MS 15
 #define LONG_TIMEOUT_MS 150
 #define TIMEOUT_FACTOR 6
-/* After so many calls without any answer the limit is doubled: of orders that are lost by
- * halves it is one in 256. */
-#define SLOW_CALLS 8
-#define DOUBLINGS_MOST 4 /* from the shortest to the longest limit */
+/* After so many calls without an answer the timeout is doubled. If half of all calls are
+ * lost, that happens by chance once in 256. */
+#define DOUBLING_CALLS 8
+#define DOUBLINGS_MAX 4 /* from the shortest to the longest timeout */
 #define CALL_TIME_RATE 0.2
 #define STOP_TIMEOUT_MS 100
-/* An answer's own time, beyond how long the server may wait for an end. */
-#define WATCH_ANSWER_MS 100
+/* Time for the answer itself, on top of the wait at the server. */
+#define LONG_POLL_ANSWER_MS 100
 #define STARTS_MAX 4
 
-/* A settling call without an answer is followed by the next at once, since single ones
- * go astray; after so many calls in a row the server is taken to be down, and it is
- * asked with each tick. */
-#define SETTLE_AT_ONCE_CALLS 4
+/* A reconciling call without an answer is retried at once, since single ones get lost;
+ * after so many unanswered calls in a row the server is taken to be down, and the next is
+ * sent with each tick. */
+#define RECONCILE_RETRIES 4
 
-/* What an answer must be matched with: the runner's state may have moved on. */
+/* The state that a call was made in, to compare with when its answer comes. */
 typedef struct
 {
   RunKey key;
-  guint life;
+  guint instance_count;
   guint64 token;
   gint64 sent_ms;
-  guint64 watch; /* its number; 0: it does not wait for an end */
-  gboolean settle;
+  guint64 long_poll; /* its number; 0: it is none */
+  gboolean reconcile;
 } Cookie;
 
 static Cookie *
@@ -42,7 +41,7 @@
 {
   Cookie *cookie = g_new0 (Cookie, 1);
 
-  cookie->life = runner->life;
+  cookie->instance_count = runner->instance_count;
   cookie->token = runner->token;
   cookie->sent_ms = runner->now_ms;
   return cookie;
@@ -61,20 +60,20 @@
   return call;
 }
 
-/* What usual answers take is learned from those that came: if none comes, the server may
- * have become slower than the limit, and would never be heard again. Single orders that
- * are lost leave it as it is. */
+/* Only answers within the timeout count in the mean. A server that has become slower than
+ * the timeout would stay unanswering for good, so it is doubled while no answer comes;
+ * single lost calls leave it as it is. */
 static guint
 short_timeout (const Runner *runner)
 {
-  guint doublings = MIN (runner->unanswered / SLOW_CALLS, DOUBLINGS_MOST);
-  double usual = MAX (TIMEOUT_FACTOR * runner->call_ms, SHORT_TIMEOUT_MS);
+  guint doublings = MIN (runner->unanswered / DOUBLING_CALLS, DOUBLINGS_MAX);
+  double base_ms = MAX (TIMEOUT_FACTOR * runner->call_ms, SHORT_TIMEOUT_MS);
 
-  return (guint)MIN (usual * (1 << doublings), LONG_TIMEOUT_MS);
+  return (guint)MIN (base_ms * (1 << doublings), LONG_TIMEOUT_MS);
 }
 
-/* A lease that is sent may have been taken even if no answer comes: only a server that is
- * given none for the length of one has surely ended everything. */
+/* A lease may have been accepted even if no answer comes. An unresponsive server is sent
+ * none: after the length of one it has surely ended all its runs. */
 static void
 add_lease (Runner *runner, ServerCall *call)
 {
@@ -84,20 +83,20 @@
   call->lease_until
       = peer_clock_least (&runner->clock, runner->now_ms, SERVER_CLOCK_SLOW_PERCENT)
         + runner->init.lease_ms;
-  runner->leased_until = MAX (runner->leased_until, call->lease_until);
+  runner->server_lease_until = MAX (runner->server_lease_until, call->lease_until);
 }
 
-/* Return: FALSE if the answer is of no use any more. */
+/* Return: FALSE if the answer is outdated. */
 static gboolean
 take_reply (Runner *runner, const CallReply *reply, const Cookie *cookie)
 {
-  if (cookie->life != runner->life)
+  if (cookie->instance_count != runner->instance_count)
     return FALSE;
   runner->now_ms = reply->now_ms;
   runner->unanswered = reply->end == CALL_UNANSWERED ? runner->unanswered + 1 : 0;
   if (reply->end == CALL_UNANSWERED)
-    watches_lost (&runner->watches, runner->now_ms);
-  if (reply->end != CALL_UNANSWERED && cookie->watch == 0)
+    watches_lost (&runner->long_polls, runner->now_ms);
+  if (reply->end != CALL_UNANSWERED && cookie->long_poll == 0)
     runner->call_ms
         += CALL_TIME_RATE * (reply->now_ms - cookie->sent_ms - runner->call_ms);
   if (reply->server_ms > 0)
@@ -107,15 +106,15 @@
       runner_end_instance (runner, REPORT_SERVER_ENDED, "backend server restarted");
       return FALSE;
     }
-  /* Another runner of this server has drawn a higher token, or an order of an earlier one
-   * came late: go above whatever the server's clock allowed it. */
+  /* Another runner of this server has drawn a higher token from the server's clock, or a
+   * call of an earlier one came late: go above any that the clock allowed. */
   if (reply->end == CALL_FENCED && cookie->token == runner->token)
     runner->token = MAX (runner->token + 1, (guint64)reply->server_ms);
   return TRUE;
 }
 
 static void
-run_is_running (Runner *runner, Run *run)
+run_set_running (Runner *runner, Run *run)
 {
   RunReport report = { run->key, REPORT_STARTED, "" };
 
@@ -129,12 +128,12 @@
   runner->ops->report (run->entry, &report, runner->ctx);
 }
 
-/* A server that takes no starts looks free, and each one sent there costs its job the
- * time that it takes to settle it. */
+/* A server that accepts no starts looks idle, and each one sent there costs its job the
+ * time until it is resolved: lost starts count against its health. */
 static void
-run_refused (Runner *runner, Run *run, const char *reason)
+run_start_lost (Runner *runner, Run *run, const char *reason)
 {
-  quality_astray (&runner->quality, runner->now_ms);
+  quality_astray (&runner->server_health, runner->now_ms);
   run_end (runner, run, REPORT_NOT_STARTED, reason);
 }
 
@@ -153,7 +152,7 @@
   switch (reply->end)
     {
     case CALL_DONE:
-      run_is_running (runner, run);
+      run_set_running (runner, run);
       break;
     case CALL_FENCED:
     case CALL_LATE:
@@ -170,7 +169,7 @@
       run_end (runner, run, REPORT_NOT_STARTED, "no room");
       break;
     case CALL_UNHEALTHY:
-      run_refused (runner, run, "unhealthy");
+      run_start_lost (runner, run, "unhealthy");
       break;
     case CALL_REJECTED:
       run_end (runner, run, REPORT_NOT_STARTED, "rejected");
@@ -201,8 +200,8 @@
   runner->init.calls->start (&call, &run->key, run->payload, runner->init.server);
 }
 
-/* Whether the stop was answered does not matter: only the listed end frees the room, and
- * until then it is sent again. */
+/* Only the listed end frees the run's capacity; until then the stop is resent, answered
+ * or not. */
 static void
 on_stop_reply (const CallReply *reply, gpointer ctx, gpointer data)
 {
@@ -222,8 +221,8 @@
 static void
 end_as_listed (Runner *runner, Run *run, RunEnd how)
 {
-  /* Ends are listed in an order of their own and may overtake the start's answer. */
-  run_is_running (runner, run);
+  /* Ends are listed by another call and may overtake the start's answer. */
+  run_set_running (runner, run);
   switch (how)
     {
     case RUN_END_DONE:
@@ -247,12 +246,12 @@
     }
 }
 
-/* Return: whether any of them was news. */
+/* Return: whether any of them was new. */
 static gboolean
 take_ends (Runner *runner, const CallReply *reply)
 {
   guint64 seen = runner->ends_seen;
-  gboolean news;
+  gboolean any_new;
 
   for (gsize i = 0; i < reply->n_ended; i++)
     {
@@ -266,9 +265,9 @@
       if (run != NULL)
         end_as_listed (runner, run, ended->how);
     }
-  news = seen > runner->ends_seen;
+  any_new = seen > runner->ends_seen;
   runner->ends_seen = seen;
-  return news;
+  return any_new;
 }
 
 static gboolean
@@ -280,10 +279,10 @@
   return FALSE;
 }
 
-/* The server took a token higher than the start's before it made this list: the start
- * stands in the list or never happens. */
+/* The server had accepted a token higher than the start's before it made this list: a
+ * start that is not listed never runs. */
 static void
-settle_runs (Runner *runner, const CallReply *reply, guint64 token)
+resolve_starts (Runner *runner, const CallReply *reply, guint64 token)
 {
   Run *run;
   Run *next;
@@ -294,14 +293,14 @@
       if (run->state != RUN_UNRESOLVED || run->token >= token)
         continue;
       if (is_listed (reply, &run->key))
-        run_is_running (runner, run);
+        run_set_running (runner, run);
       else
-        run_refused (runner, run, "start went astray");
+        run_start_lost (runner, run, "start went astray");
     }
 }
 
 static void
-clear_strangers (Runner *runner, const CallReply *reply)
+stop_unknown_runs (Runner *runner, const CallReply *reply)
 {
   if (reply->n_running == 0)
     {
@@ -329,29 +328,29 @@
   Runner *runner = ctx;
   Cookie *cookie = data;
 
-  if (cookie->life == runner->life && cookie->watch != 0)
-    watches_ended (&runner->watches, cookie->watch);
-  if (cookie->life == runner->life && cookie->settle)
-    runner->settling = FALSE;
+  if (cookie->instance_count == runner->instance_count && cookie->long_poll != 0)
+    watches_ended (&runner->long_polls, cookie->long_poll);
+  if (cookie->instance_count == runner->instance_count && cookie->reconcile)
+    runner->reconciling = FALSE;
   if (!take_reply (runner, reply, cookie))
     goto out;
   if (reply->end != CALL_DONE)
     {
-      if (cookie->settle && runner_must_reconcile (runner)
-          && runner->unanswered < SETTLE_AT_ONCE_CALLS)
+      if (cookie->reconcile && runner_must_reconcile (runner)
+          && runner->unanswered < RECONCILE_RETRIES)
         runner_send_reconcile (runner);
       goto out;
     }
   runner->listed_ms = runner->now_ms;
   if (take_ends (runner, reply))
-    watches_saw_end (&runner->watches, runner->now_ms);
+    watches_saw_end (&runner->long_polls, runner->now_ms);
   runner_take_progress (runner, reply);
-  if (cookie->settle && runner->state == INSTANCE_CLEARING
+  if (cookie->reconcile && runner->state == INSTANCE_CLEARING
       && cookie->token == runner->token)
-    clear_strangers (runner, reply);
-  else if (cookie->settle)
-    settle_runs (runner, reply, cookie->token);
-  watches_check (&runner->watches, runner->now_ms);
+    stop_unknown_runs (runner, reply);
+  else if (cookie->reconcile)
+    resolve_starts (runner, reply, cookie->token);
+  watches_check (&runner->long_polls, runner->now_ms);
   runner_send_long_poll (runner);
 
 out:
@@ -359,14 +358,14 @@
 }
 
 static void
-send_watch (Runner *runner, guint64 number)
+send_long_poll (Runner *runner, guint64 number)
 {
-  guint wait_ms = watches_wait_ms (&runner->watches, runner->now_ms);
+  guint wait_ms = watches_wait_ms (&runner->long_polls, runner->now_ms);
   Cookie *cookie = cookie_new (runner);
   ServerCall call
-      = server_call (runner, wait_ms + WATCH_ANSWER_MS, on_hold_reply, cookie);
+      = server_call (runner, wait_ms + LONG_POLL_ANSWER_MS, on_hold_reply, cookie);
 
-  cookie->watch = number;
+  cookie->long_poll = number;
   if (runner->n_runs > 0)
     add_lease (runner, &call);
   runner->init.calls->hold (&call, runner->ends_seen, wait_ms, runner->init.server);
@@ -379,10 +378,10 @@
 
   if (runner->state == INSTANCE_UNKNOWN)
     return;
-  while ((number = watches_next (&runner->watches, runner_server_is_unresponsive (runner),
-                                 runner->now_ms))
+  while ((number = watches_next (&runner->long_polls,
+                                 runner_server_is_unresponsive (runner), runner->now_ms))
          != 0)
-    send_watch (runner, number);
+    send_long_poll (runner, number);
 }
 
 void
@@ -415,12 +414,12 @@
   Cookie *cookie;
   ServerCall call;
 
-  if (runner->settling)
+  if (runner->reconciling)
     return;
   raise_token (runner);
-  runner->settling = TRUE;
+  runner->reconciling = TRUE;
   cookie = cookie_new (runner);
-  cookie->settle = TRUE;
+  cookie->reconcile = TRUE;
   call = server_call (runner, short_timeout (runner), on_hold_reply, cookie);
   runner->init.calls->hold (&call, runner->ends_seen, 0, runner->init.server);
 }
--- a/src/runner_instance.c
+++ b/src/runner_instance.c
@@ -35,9 +35,9 @@
     return;
   runner_lose_all (runner, kind, reason);
   remember_instance (runner, g_steal_pointer (&runner->instance));
-  runner->life++;
-  watches_forget (&runner->watches);
-  runner->settling = FALSE;
+  runner->instance_count++;
+  watches_forget (&runner->long_polls);
+  runner->reconciling = FALSE;
   runner_set_state (runner, INSTANCE_UNKNOWN);
 }
 
@@ -50,21 +50,21 @@
   return FALSE;
 }
 
-/* What is learned of a cold server holds while it is cold: it is no slow server. */
+/* Slowness measured while the server is cold holds only then: each state has its own. */
 static void
 set_cold (Runner *runner, gboolean cold)
 {
-  double slowness = runner->quality.slowness;
+  double slowness = runner->server_health.slowness;
 
   if (runner->cold == cold)
     return;
   runner->cold = cold;
-  runner->quality.slowness = MAX (runner->other_slowness, 1);
+  runner->server_health.slowness = MAX (runner->other_slowness, 1);
   runner->other_slowness = slowness;
   event_note (cold ? "server-cold" : "server-warm", "-",
               "server=%s for_ms=%" G_GINT64_FORMAT " slowness=%.2f before=%.2f",
               runner->instance, MAX (runner->cold_until_ms - runner->now_ms, 0),
-              runner->quality.slowness, slowness);
+              runner->server_health.slowness, slowness);
   runner->ops->changed (runner->ctx);
 }
 
@@ -74,22 +74,22 @@
   set_cold (runner, runner->now_ms < runner->cold_until_ms);
 }
 
-/* Whatever an earlier life of this process started may still run there, and its orders
- * may still arrive. The server's own clock as fencing token is higher than any that was
- * drawn from it before, and needs no storage. */
+/* Runs that an earlier incarnation of this process started may still go on there, and its
+ * calls may still arrive. The server's own clock as fencing token is higher than any that
+ * was drawn from it before, and needs no storage. */
 static void
-begin_life (Runner *runner, const ServerFacts *facts)
+begin_instance (Runner *runner, const ServerFacts *facts)
 {
   runner_end_instance (runner, REPORT_SERVER_ENDED, "backend server restarted");
   runner->instance = g_strdup (facts->instance);
-  runner->life++;
+  runner->instance_count++;
   runner->sequence = 0;
   runner->token = (guint64)facts->server_ms;
   runner->ends_seen = 0;
   runner->unanswered = 0;
   set_cold (runner, FALSE);
-  quality_init (&runner->quality);
-  runner->leased_until = 0;
+  quality_init (&runner->server_health);
+  runner->server_lease_until = 0;
   memset (&runner->clock, 0, sizeof runner->clock);
   runner_set_state (runner, INSTANCE_CLEARING);
 }
@@ -97,19 +97,19 @@
 gboolean
 runner_facts (Runner *runner, const ServerFacts *facts, gint64 now_ms)
 {
-  gboolean new_life = g_strcmp0 (runner->instance, facts->instance) != 0;
+  gboolean is_new = g_strcmp0 (runner->instance, facts->instance) != 0;
   gboolean changed;
 
   runner->now_ms = now_ms;
   if (is_past_instance (runner, facts->instance))
     return FALSE;
-  if (!new_life && facts->sequence <= runner->sequence)
+  if (!is_new && facts->sequence <= runner->sequence)
     return FALSE;
-  if (new_life)
-    begin_life (runner, facts);
+  if (is_new)
+    begin_instance (runner, facts);
   runner->sequence = facts->sequence;
   peer_clock_observe (&runner->clock, facts->server_ms, now_ms);
-  changed = new_life || runner->server_draining != facts->draining
+  changed = is_new || runner->server_draining != facts->draining
             || memcmp (&runner->capacity, &facts->capacity, sizeof facts->capacity) != 0;
   runner->capacity = facts->capacity;
   runner->server_draining = facts->draining;
@@ -122,7 +122,7 @@
                 facts->capacity.memory_mb, facts->draining, facts->cold_ms);
   if (changed)
     runner->ops->changed (runner->ctx);
-  if (new_life)
+  if (is_new)
     runner_send_reconcile (runner);
   return TRUE;
 }
--- a/src/runner_parts.h
+++ b/src/runner_parts.h
@@ -1,17 +1,18 @@
 #pragma once
-/* What the parts of the runner share. runner.c keeps the runs and decides,
- * runner_instance.c follows the lives of the backend server, runner_calls.c calls it and
- * takes its answers in, runner_progress.c judges it by what they tell. */
+/* Shared by the source files of the runner. runner.c keeps the runs and decides,
+ * runner_instance.c follows the instances of the backend server, runner_calls.c makes the
+ * calls and handles their answers, runner_progress.c rates the server by them. */
 #include "peer_clock.h"
 #include "runner.h"
 #include "watches.h"
 
 #include <sys/queue.h>
 
-/* Lives remembered, so that a delayed report of an earlier one is not taken for news. */
+/* Instances remembered, so that a delayed report of an earlier one is recognised. */
 #define PAST_INSTANCES 8
 
-/* The server's steady clock may run this much slower than ours (its published bound). */
+/* The server's monotonic clock may run this much slower than the own one (its published
+ * bound). */
 #define SERVER_CLOCK_SLOW_PERCENT 2
 
 typedef enum
@@ -34,15 +35,15 @@
   gint64 started_ms;
   guint percent;           /* of its work that is done */
   gint64 progress_ms;      /* when that last changed */
-  gint64 told_ms;          /* when it was last reported as a straggler */
-  gboolean rated;          /* its run time is part of the server's quality */
+  gint64 reported_ms;      /* when it was last reported as a straggler */
+  gboolean rated;          /* its run time is part of the server's health */
   guint64 token;           /* of its last start */
   guint starts;            /* sent */
   const char *stop_reason; /* NULL: it may run */
   gint64 stop_sent_ms;
 } Run;
 
-/* A run that ended a short while ago, kept for an entry whose link broke meanwhile. */
+/* A run that ended recently, kept for an entry whose link broke meanwhile. */
 typedef struct PastRun
 {
   TAILQ_ENTRY (PastRun) link;
@@ -53,8 +54,8 @@
 
 typedef enum
 {
-  INSTANCE_UNKNOWN,  /* the server has not been heard of */
-  INSTANCE_CLEARING, /* what runs there is not known: it must end first */
+  INSTANCE_UNKNOWN,  /* no report of the server was received */
+  INSTANCE_CLEARING, /* it may have runs that are not known here: they must end first */
   INSTANCE_READY,
 } InstanceState;
 
@@ -67,31 +68,31 @@
   TAILQ_HEAD (, PastRun) past;
   guint n_runs;
   Demand used;
-  GHashTable *entries; /* incarnation -> gint64 until when its runs may go on */
+  GHashTable *entry_leases; /* incarnation -> gint64 until when its runs may go on */
   char *instance;
   char **past_instances;
-  guint life; /* counts the lives seen, so that answers of earlier ones are told apart */
+  guint instance_count; /* raised at begin and end of each, to spot outdated answers */
   InstanceState state;
   guint64 sequence;
   guint64 token;
   guint64 ends_seen;
   PeerClock clock;
-  gint64 leased_until; /* server's clock: the longest lease that it may have been given */
+  gint64 server_lease_until; /* server's clock: the longest lease that it may hold */
   gint64 lease_sent_ms;
-  gint64 listed_ms; /* when its lists were last asked for or told */
+  gint64 listed_ms; /* when its lists were last requested or received */
   guint unanswered; /* calls since the last answer */
-  double call_ms;   /* what an answer usually takes */
+  double call_ms;   /* mean answer time */
   gint64 now_ms;    /* of the call that is being handled */
   Demand capacity;
-  Quality quality;
+  Quality server_health;
   gboolean server_draining;
-  gint64 cold_until_ms; /* it says that it runs slower until then */
+  gint64 cold_until_ms; /* by its own report it runs slower until then */
   gboolean cold;
-  double other_slowness; /* while it is cold that of when it is warm, and the reverse */
+  double other_slowness; /* slowness when warm while it is cold, and the reverse */
   gboolean draining;
   gboolean zone_closed;
-  Watches watches;
-  gboolean settling;
+  Watches long_polls;
+  gboolean reconciling; /* a reconciling call is under way */
 };
 
 /* runner.c */
@@ -99,35 +100,39 @@
 void run_end (Runner *runner, Run *run, ReportKind kind, const char *reason);
 void runner_lose_all (Runner *runner, ReportKind kind, const char *reason);
 
-/** runner_server_is_unresponsive - several calls in a row got no answer. */
+/** runner_server_is_unresponsive - whether several calls in a row got no answer. */
 gboolean runner_server_is_unresponsive (const Runner *runner);
 
 /* runner_progress.c */
 
-/** run_rate - note its run time against the expected one. */
+/** run_rate - count an ended run in the server's health. */
 void run_rate (Runner *runner, Run *run, gboolean failed);
 
-/** runner_take_progress - what a list of running tasks tells about each. */
+/** runner_take_progress - evaluate the progress of the running tasks that are listed. */
 void runner_take_progress (Runner *runner, const CallReply *reply);
 
 /* runner_instance.c */
 void runner_set_state (Runner *runner, InstanceState state);
 
-/** runner_check_cold - see whether the server is slower now than it will be. */
+/** runner_check_cold - update whether the server is still slow from its start. */
 void runner_check_cold (Runner *runner);
 
-/** runner_end_instance - what ran there ends as @kind. */
+/** runner_end_instance - the server's instance has ended, and its runs end as @kind. */
 void runner_end_instance (Runner *runner, ReportKind kind, const char *reason);
 
 /* runner_calls.c */
 void runner_send_start (Runner *runner, Run *run);
 void runner_send_stop (Runner *runner, const RunKey *key);
+
+/** runner_send_long_poll - keep as many long polls open as are needed. */
 void runner_send_long_poll (Runner *runner);
+
+/** runner_send_poll - renew the server's lease and list its runs, without waiting. */
 void runner_send_poll (Runner *runner);
 
-/** runner_must_reconcile - whether the fate of a start is not known. */
+/** runner_must_reconcile - whether any start is unresolved. */
 gboolean runner_must_reconcile (const Runner *runner);
 
-/** runner_send_reconcile - raise the fencing token where that is needed, then ask what
- * runs: what is not listed then never runs. */
+/** runner_send_reconcile - raise the fencing token if a start is unresolved, then list
+ * the runs: a start that is not listed then never runs. */
 void runner_send_reconcile (Runner *runner);
--- a/src/runner_progress.c
+++ b/src/runner_progress.c
@@ -3,34 +3,35 @@
 #include "histograms.h"
 #include "runner_parts.h"
 
-/* A run that shows no progress for this long stands still; of longer tasks one percent
- * takes longer than that. */
+/* A run without progress for this long is stalled; of a long task one percent takes more,
+ * so it gets this fraction of its expected time. */
 #define STALL_MS 200
-#define STALL_SHARE 10
-#define TELL_AGAIN_MS 200
-/* What is said of a run that makes no progress at all. */
+#define STALL_FRACTION 10
+#define REPORT_REPEAT_MS 200
+/* Reported as the remaining time of a stalled run. */
 #define STALLED_REMAINING_MS 60000
-/* Below this share of its work a run's progress tells too little about its length. */
-#define PERCENT_TELLING 15
-/* Tasks differ from their estimates by more than this themselves; a server whose mean is
- * this far off is slow. */
-#define SLOW_SERVER 1.8
+/* With less progress the estimate of a run's length is too rough. */
+#define MIN_ESTIMATE_PERCENT 15
+/* A server is slow if its mean ratio of actual to expected run time is this high; a
+ * single task may be further off by itself. */
+#define SLOW_SERVER_RATIO 1.8
 
 void
 run_rate (Runner *runner, Run *run, gboolean failed)
 {
   double elapsed = MAX (runner->now_ms - run->started_ms, 1);
-  Trust before = runner->quality.trust;
+  Trust before = runner->server_health.trust;
 
   if (!failed)
     histogram_observe (HISTOGRAM_RUN, (gint64)elapsed);
   if (!failed && !run->rated)
-    quality_slow (&runner->quality, elapsed / run->expected_ms);
+    quality_slow (&runner->server_health, elapsed / run->expected_ms);
   run->rated = TRUE;
-  quality_ended (&runner->quality, failed, runner->now_ms);
-  if (runner->quality.trust != before)
+  quality_ended (&runner->server_health, failed, runner->now_ms);
+  if (runner->server_health.trust != before)
     event_note ("server-trust", "-", "server=%s trust=%d before=%d failing=%.2f",
-                runner->instance, runner->quality.trust, before, runner->quality.failing);
+                runner->instance, runner->server_health.trust, before,
+                runner->server_health.failing);
 }
 
 static gboolean
@@ -38,39 +39,39 @@
 {
   gint64 still_ms = runner->now_ms - run->progress_ms;
 
-  return still_ms > MAX (STALL_MS, run->expected_ms / STALL_SHARE);
+  return still_ms > MAX (STALL_MS, run->expected_ms / STALL_FRACTION);
 }
 
-/* Return: how long the whole run takes here, as its progress tells; 0 if it does not. */
+/* Return: length of the whole run, extrapolated from its progress; 0: not known yet. */
 static double
 whole_run_ms (const Run *run)
 {
-  if (run->percent < PERCENT_TELLING)
+  if (run->percent < MIN_ESTIMATE_PERCENT)
     return 0;
   return (double)(run->progress_ms - run->started_ms) * 100 / run->percent;
 }
 
-/* A task that takes longer than declared does so anywhere; only what its server adds can
- * be saved by a new start elsewhere. */
+/* A task that is longer than declared takes as long anywhere; a new start elsewhere saves
+ * only the delay that its server adds. */
 static void
-tell_straggler (Runner *runner, Run *run)
+report_straggler (Runner *runner, Run *run)
 {
   gboolean stalled = is_stalled (runner, run);
   double whole_ms = whole_run_ms (run);
-  double slowness = runner->quality.slowness;
+  double slowness = runner->server_health.slowness;
   double left_ms = STALLED_REMAINING_MS;
   double elsewhere_ms = whole_ms > 0 ? whole_ms : run->expected_ms;
 
-  if (!stalled && (slowness < SLOW_SERVER || whole_ms == 0))
+  if (!stalled && (slowness < SLOW_SERVER_RATIO || whole_ms == 0))
     return;
-  if (runner->now_ms - run->told_ms < TELL_AGAIN_MS)
+  if (runner->now_ms - run->reported_ms < REPORT_REPEAT_MS)
     return;
   if (!stalled)
     {
       left_ms = whole_ms * (100 - run->percent) / 100;
       elsewhere_ms = whole_ms / slowness;
     }
-  run->told_ms = runner->now_ms;
+  run->reported_ms = runner->now_ms;
   event_note ("task-straggles", run->key.job,
               "task=%u run=%u percent=%u elapsed_ms=%" G_GINT64_FORMAT
               " expected_ms=%u remaining_ms=%.0f elsewhere_ms=%.0f slowness=%.2f",
@@ -81,8 +82,8 @@
                           runner->ctx);
 }
 
-/* Each run counts once, as soon as its progress tells: counted at its end, slow runs
- * would count late. */
+/* Each run is counted once, as soon as its length can be estimated: counted at its end,
+ * slow runs would count too late. */
 static void
 rate_by_progress (Runner *runner, Run *run)
 {
@@ -91,7 +92,7 @@
   if (run->rated || whole_ms == 0)
     return;
   run->rated = TRUE;
-  quality_slow (&runner->quality, whole_ms / run->expected_ms);
+  quality_slow (&runner->server_health, whole_ms / run->expected_ms);
 }
 
 static void
@@ -106,7 +107,7 @@
 void
 runner_take_progress (Runner *runner, const CallReply *reply)
 {
-  Trust before = runner->quality.trust;
+  Trust before = runner->server_health.trust;
   guint stalled = 0;
   guint moving = 0;
   Run *run;
@@ -122,12 +123,12 @@
         stalled++;
       else if (run->percent > 0)
         moving++;
-      tell_straggler (runner, run);
+      report_straggler (runner, run);
     }
-  quality_looked (&runner->quality, stalled, moving, runner->now_ms);
-  if (runner->quality.trust == before)
+  quality_looked (&runner->server_health, stalled, moving, runner->now_ms);
+  if (runner->server_health.trust == before)
     return;
   event_note ("server-trust", "-", "server=%s trust=%d before=%d stalled=%u moving=%u",
-              runner->instance, runner->quality.trust, before, stalled, moving);
+              runner->instance, runner->server_health.trust, before, stalled, moving);
   runner->ops->changed (runner->ctx);
 }
--- a/src/server_calls.h
+++ b/src/server_calls.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The calls to a backend server that runs tasks under leases: what the runner needs of
- * it, whatever protocol it speaks. Every call is answered once, from the loop. */
+/* The calls to a backend server that runs tasks under leases, whatever protocol it
+ * speaks. Every call is answered exactly once, from the event loop. */
 #include "demand.h"
 
 #include <glib.h>
@@ -21,14 +21,14 @@
 typedef enum
 {
   CALL_DONE,
-  CALL_FENCED,     /* refused: its fencing token is too old */
+  CALL_FENCED,     /* refused: its fencing token is too low */
   CALL_SUPERSEDED, /* refused: a run with this or a higher number was stopped or ended */
-  CALL_LATE,       /* refused: its lease would have lapsed already */
-  CALL_NO_ROOM,    /* refused by the server's own guard */
+  CALL_LATE,       /* refused: its lease would have expired already */
+  CALL_NO_ROOM,    /* refused: the server's own capacity check failed */
   CALL_UNHEALTHY,  /* refused; nothing was done */
   CALL_OTHER_INSTANCE, /* refused: the backend server has restarted */
   CALL_REJECTED,       /* refused as malformed */
-  CALL_UNANSWERED,     /* it may have been carried out, or may be later */
+  CALL_UNANSWERED,     /* it may have been carried out, or may still be */
 } CallEnd;
 
 typedef enum
@@ -36,13 +36,13 @@
   RUN_END_DONE,
   RUN_END_FAILED,
   RUN_END_STOPPED,
-  RUN_END_EXPIRED,
+  RUN_END_EXPIRED, /* its lease expired */
   RUN_END_OTHER,
 } RunEnd;
 
 typedef struct
 {
-  guint64 number; /* counts the ends of this life of the server */
+  guint64 number; /* counts the ended runs of this instance */
   RunKey key;
   RunEnd how;
 } EndedRun;
@@ -53,11 +53,11 @@
   guint percent; /* of its work that is done */
 } RunningRun;
 
-/* A list of runs that is empty for a call other than hold. */
+/* Only the reply to hold lists runs. */
 typedef struct
 {
   CallEnd end;
-  gint64 server_ms; /* the server's clock; 0: not told */
+  gint64 server_ms; /* the server's clock; 0: unknown */
   gint64 now_ms;    /* own clock when the answer came */
   const RunningRun *running;
   gsize n_running;
@@ -69,9 +69,9 @@
 
 typedef struct
 {
-  const char *instance; /* the life of the server that is meant */
-  guint64 token;        /* fencing token: the server ignores lower ones */
-  gint64 lease_until;   /* server's clock, for all that runs there; 0: leave as it is */
+  const char *instance; /* the call is refused by any other one */
+  guint64 token;        /* fencing token: the server refuses lower ones */
+  gint64 lease_until;   /* server's clock, for all its runs; 0: leave as it is */
   guint timeout_ms;
   CallReplied replied;
   gpointer ctx;
@@ -85,7 +85,8 @@
                  const char *payload,
                  gpointer server);
   void (*stop) (const ServerCall *call, const RunKey *key, gpointer server);
-  /* Ask for all runs and ends; acknowledge ends; wait up to @wait_ms for a new end. */
+  /* Long poll: list all runs and the ends after @ends_seen, which acknowledges the ones
+   * up to it; wait up to @wait_ms for a new end. */
   void (*hold) (const ServerCall *call,
                 guint64 ends_seen,
                 guint wait_ms,
