--- a/tests/test-runner.c
+++ b/tests/test-runner.c
@@ -1,5 +1,5 @@
-/* The runner beside a backend server that the test plays: every call to the server is
- * held until the test answers it, or never is. */
+/* The runner with a fake backend server: every call is recorded in the scene (the test
+ * fixture) and stays open until the test answers it. */
 #include "cases.h"
 #include "runner.h"
 
@@ -11,9 +11,9 @@
 #define CALLS_MAX 1024
 #define REPORTS_MAX 64
 #define REFUSING_MS 6000
-#define DIALS_PER_S 60
-/* More calls than this in one turn of the loop are a storm. */
-#define STORM 200
+#define CALLS_PER_S 60
+/* Ends the loop of calls that fail and are repeated at once. */
+#define CALLS_PER_TICK_MAX 200
 #define COLD_MS 3000
 
 typedef enum
@@ -94,7 +94,7 @@
 static const ServerCalls calls = { on_start, on_stop, on_hold };
 
 static void
-on_report (guint64 entry, const RunReport *told, gpointer ctx)
+on_report (guint64 entry, const RunReport *run_report, gpointer ctx)
 {
   Scene *scene = ctx;
   Report *report;
@@ -102,10 +102,10 @@
   g_assert_cmpuint (scene->n_reports, <, REPORTS_MAX);
   report = &scene->reports[scene->n_reports++];
   report->entry = entry;
-  report->key = told->key;
-  report->kind = told->kind;
-  scene->last_run_ms = told->run_ms;
-  g_strlcpy (report->reason, told->reason, sizeof report->reason);
+  report->key = run_report->key;
+  report->kind = run_report->kind;
+  scene->last_run_ms = run_report->run_ms;
+  g_strlcpy (report->reason, run_report->reason, sizeof report->reason);
 }
 
 static void
@@ -152,7 +152,7 @@
   answer_as (scene, call, reply);
 }
 
-/* Return: the latest call of that kind that is not answered, or NULL. */
+/* Return: the latest unanswered call of that kind, or NULL. */
 static Call *
 open_call (Scene *scene, Called what)
 {
@@ -163,7 +163,7 @@
 }
 
 static Call *
-open_settle (Scene *scene)
+open_poll (Scene *scene)
 {
   for (guint i = scene->n_calls; i > 0; i--)
     if (scene->calls[i - 1].what == CALLED_HOLD && !scene->calls[i - 1].answered
@@ -173,7 +173,7 @@
 }
 
 static Call *
-open_watch (Scene *scene)
+open_long_poll (Scene *scene)
 {
   for (guint i = scene->n_calls; i > 0; i--)
     if (scene->calls[i - 1].what == CALLED_HOLD && !scene->calls[i - 1].answered
@@ -183,7 +183,7 @@
 }
 
 static void
-pass (Scene *scene, guint ms)
+advance (Scene *scene, guint ms)
 {
   scene->now += ms;
   scene->server_ms += ms;
@@ -191,7 +191,7 @@
 }
 
 static void
-tell_facts (Scene *scene, const char *instance, guint64 sequence, gboolean draining)
+send_facts (Scene *scene, const char *instance, guint64 sequence, gboolean draining)
 {
   ServerFacts facts = { .instance = instance,
                         .service = "exchange",
@@ -215,13 +215,13 @@
   scene->runner = runner_new (&init, &ops, scene);
 }
 
-/* A server that answers and runs nothing, and an entry with a long lease. */
+/* A ready server without runs, and an entry with a long lease. */
 static void
 scene_ready (Scene *scene)
 {
   scene_open (scene);
-  tell_facts (scene, "one", 1, FALSE);
-  answer (scene, open_settle (scene), CALL_DONE);
+  send_facts (scene, "one", 1, FALSE);
+  answer (scene, open_poll (scene), CALL_DONE);
   g_assert_true (runner_ready (scene->runner));
   runner_extend_lease (scene->runner, ENTRY, scene->now + 60000);
   runner_tick (scene->runner, scene->now);
@@ -247,7 +247,7 @@
 }
 
 static void
-ask_start (Scene *scene, guint64 entry, const char *job, guint cpu)
+order_start (Scene *scene, guint64 entry, const char *job, guint cpu)
 {
   RunRequest request = { .entry = entry,
                          .key = key_of (job, 0, 1),
@@ -260,7 +260,7 @@
 }
 
 static void
-list_end (Scene *scene, Call *call, const char *job, RunEnd how)
+answer_ended (Scene *scene, Call *call, const char *job, RunEnd how)
 {
   EndedRun ended = { ++scene->ends, key_of (job, 0, 1), how };
   CallReply reply = { .end = CALL_DONE, .ended = &ended, .n_ended = 1 };
@@ -269,7 +269,7 @@
 }
 
 static void
-list_running (Scene *scene, Call *call, const char *job, guint percent)
+answer_running (Scene *scene, Call *call, const char *job, guint percent)
 {
   RunningRun running = { key_of (job, 0, 1), percent };
   CallReply reply = { .end = CALL_DONE, .running = &running, .n_running = 1 };
@@ -287,27 +287,24 @@
 static void
 start_running (Scene *scene, const char *job, guint cpu)
 {
-  ask_start (scene, ENTRY, job, cpu);
+  order_start (scene, ENTRY, job, cpu);
   answer (scene, open_call (scene, CALLED_START), CALL_DONE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_STARTED);
 }
 
-/* Cases. */
-
 static void
 runs_and_reports (Scene *scene)
 {
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  list_end (scene, open_watch (scene), "j", RUN_END_DONE);
+  answer_ended (scene, open_long_poll (scene), "j", RUN_END_DONE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_DONE);
   g_assert_cmpuint (runner_count (scene->runner), ==, 0);
-  g_assert_cmpuint (open_watch (scene)->ends_seen, ==, 1);
+  g_assert_cmpuint (open_long_poll (scene)->ends_seen, ==, 1);
 }
 
-/* Symptom: a backend server is loaded beyond its capacity.
- * Sequence: a run is told to stop; before its end is listed the next one starts.
- * Cause: room counted as free when the stop was sent. */
+/* Guards against loading a server beyond its capacity: the next run started after a stop
+ * was sent, before the end of the stopped run was listed. */
 static void
 room_is_kept_until_the_end (Scene *scene)
 {
@@ -315,42 +312,39 @@
 
   scene_ready (scene);
   start_running (scene, "j", 3000);
-  ask_start (scene, ENTRY, "k", 2000);
+  order_start (scene, ENTRY, "k", 2000);
   g_assert_cmpstr (last_report (scene)->reason, ==, "no room");
   runner_stop (scene->runner, ENTRY, &key, scene->now);
   answer (scene, open_call (scene, CALLED_STOP), CALL_DONE);
-  ask_start (scene, ENTRY, "k", 2000);
+  order_start (scene, ENTRY, "k", 2000);
   g_assert_cmpstr (last_report (scene)->reason, ==, "no room");
-  list_end (scene, open_watch (scene), "j", RUN_END_STOPPED);
+  answer_ended (scene, open_long_poll (scene), "j", RUN_END_STOPPED);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_LOST);
-  ask_start (scene, ENTRY, "k", 2000);
+  order_start (scene, ENTRY, "k", 2000);
   g_assert_nonnull (open_call (scene, CALLED_START));
 }
 
-/* Symptom: a task runs twice at once, seconds after the first start.
- * Sequence: a start gets no answer; it is taken for lost and sent elsewhere; the server
- * carries it out late.
- * Cause: silence taken for a proof. The token is raised first: the late start is refused.
- */
+/* Guards against running a task twice: an unanswered start was taken for lost and sent
+ * elsewhere, and the server carried it out seconds later. With the token raised first,
+ * the late start is refused. */
 static void
 unanswered_start_is_fenced (Scene *scene)
 {
   guint64 token;
 
   scene_ready (scene);
-  ask_start (scene, ENTRY, "j", 1000);
+  order_start (scene, ENTRY, "j", 1000);
   token = open_call (scene, CALLED_START)->call.token;
   answer (scene, open_call (scene, CALLED_START), CALL_UNANSWERED);
   g_assert_cmpuint (scene->n_reports, ==, 0);
-  g_assert_cmpuint (open_settle (scene)->call.token, >, token);
-  answer (scene, open_settle (scene), CALL_DONE);
+  g_assert_cmpuint (open_poll (scene)->call.token, >, token);
+  answer (scene, open_poll (scene), CALL_DONE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_NOT_STARTED);
   g_assert_cmpuint (runner_count (scene->runner), ==, 0);
 }
 
-/* Symptom: a task is sent again and again to a server that never answers a start.
- * Sequence: its starts go astray, everything else it answers.
- * Cause: only ends of runs told of its quality. */
+/* Guards against sending tasks again and again to a server that answers everything but
+ * starts, when only ended runs counted in its health. */
 static void
 astray_starts_cost_trust (Scene *scene)
 {
@@ -359,9 +353,9 @@
     {
       char job[2] = { (char)('a' + i), '\0' };
 
-      ask_start (scene, ENTRY, job, 1000);
+      order_start (scene, ENTRY, job, 1000);
       answer (scene, open_call (scene, CALLED_START), CALL_UNANSWERED);
-      answer (scene, open_settle (scene), CALL_DONE);
+      answer (scene, open_poll (scene), CALL_DONE);
     }
   g_assert_cmpint (runner_server_health (scene->runner)->trust, ==, TRUST_NONE);
 }
@@ -370,25 +364,24 @@
 unanswered_start_that_runs (Scene *scene)
 {
   scene_ready (scene);
-  ask_start (scene, ENTRY, "j", 1000);
+  order_start (scene, ENTRY, "j", 1000);
   answer (scene, open_call (scene, CALLED_START), CALL_UNANSWERED);
-  list_running (scene, open_settle (scene), "j", 1);
+  answer_running (scene, open_poll (scene), "j", 1);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_STARTED);
   g_assert_cmpuint (runner_count (scene->runner), ==, 1);
 }
 
-/* The settling call goes astray as well: it is asked again, and nothing is said before.
- */
+/* The reconciling call is lost too: it is repeated, and nothing is reported before. */
 static void
 settling_is_asked_again (Scene *scene)
 {
   scene_ready (scene);
-  ask_start (scene, ENTRY, "j", 1000);
+  order_start (scene, ENTRY, "j", 1000);
   answer (scene, open_call (scene, CALLED_START), CALL_UNANSWERED);
-  answer (scene, open_settle (scene), CALL_UNANSWERED);
+  answer (scene, open_poll (scene), CALL_UNANSWERED);
   g_assert_cmpuint (scene->n_reports, ==, 0);
-  pass (scene, 50);
-  answer (scene, open_settle (scene), CALL_DONE);
+  advance (scene, 50);
+  answer (scene, open_poll (scene), CALL_DONE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_NOT_STARTED);
 }
 
@@ -400,7 +393,7 @@
   Call *first;
 
   scene_ready (scene);
-  ask_start (scene, ENTRY, "j", 1000);
+  order_start (scene, ENTRY, "j", 1000);
   first = open_call (scene, CALLED_START);
   answer (scene, first, CALL_FENCED);
   g_assert_cmpuint (open_call (scene, CALLED_START)->call.token, >, first->call.token);
@@ -408,23 +401,21 @@
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_STARTED);
 }
 
-/* The list of ends comes over another connection than the start's answer. */
+/* Ends are listed over another connection than the start's answer. */
 static void
 end_overtakes_the_answer (Scene *scene)
 {
   scene_ready (scene);
-  ask_start (scene, ENTRY, "j", 1000);
-  list_end (scene, open_watch (scene), "j", RUN_END_DONE);
+  order_start (scene, ENTRY, "j", 1000);
+  answer_ended (scene, open_long_poll (scene), "j", RUN_END_DONE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_DONE);
   answer (scene, open_call (scene, CALLED_START), CALL_DONE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_DONE);
   g_assert_cmpuint (scene->n_reports, ==, 2);
 }
 
-/* Symptom: a task runs twice at once after its entry was killed.
- * Sequence: the caller sends the job to another entry, which starts it elsewhere, while
- * the first run goes on.
- * Cause: nobody stopped what no entry answers for any more. */
+/* Guards against running a task twice after its entry was killed: the caller sent the job
+ * to another entry, which started it elsewhere, and nobody stopped the first run. */
 static void
 lapsed_entry_is_stopped (Scene *scene)
 {
@@ -432,23 +423,22 @@
 
   scene_ready (scene);
   runner_extend_lease (scene->runner, OTHER_ENTRY, scene->now + 300);
-  ask_start (scene, OTHER_ENTRY, "j", 1000);
+  order_start (scene, OTHER_ENTRY, "j", 1000);
   answer (scene, open_call (scene, CALLED_START), CALL_DONE);
-  pass (scene, 250);
+  advance (scene, 250);
   g_assert_null (open_call (scene, CALLED_STOP));
-  pass (scene, 100);
+  advance (scene, 100);
   g_assert_nonnull (open_call (scene, CALLED_STOP));
   answer (scene, open_call (scene, CALLED_STOP), CALL_UNANSWERED);
   for (guint i = 0; i < 4; i++)
-    pass (scene, 50);
+    advance (scene, 50);
   for (guint i = 0; i < scene->n_calls; i++)
     stops += scene->calls[i].what == CALLED_STOP;
   g_assert_cmpuint (stops, ==, 3);
 }
 
-/* Symptom: a job that was given up starts seconds later.
- * Sequence: an agent that was frozen finds an old order in its socket.
- * Cause: orders without an age. */
+/* Guards against starting a job seconds after it was given up: an agent that was frozen
+ * found an old order in its socket, and orders did not expire. */
 static void
 old_orders_are_refused (Scene *scene)
 {
@@ -469,49 +459,46 @@
   g_assert_null (open_call (scene, CALLED_START));
 }
 
-/* Symptom: a server is over its capacity right after its agent was restarted.
- * Sequence: the new agent counts the room as free while runs of the old one go on.
- * Cause: it did not ask what runs there. */
+/* Guards against overloading a server after a restart of its agent: the new agent did not
+ * list the runs of the old one and counted their capacity as free. */
 static void
 strangers_end_first (Scene *scene)
 {
   scene_open (scene);
-  tell_facts (scene, "one", 1, FALSE);
-  list_running (scene, open_settle (scene), "old", 30);
+  send_facts (scene, "one", 1, FALSE);
+  answer_running (scene, open_poll (scene), "old", 30);
   g_assert_false (runner_ready (scene->runner));
   g_assert_cmpstr (open_call (scene, CALLED_STOP)->key.job, ==, "old");
-  pass (scene, 50);
-  answer (scene, open_settle (scene), CALL_DONE);
+  advance (scene, 50);
+  answer (scene, open_poll (scene), CALL_DONE);
   g_assert_true (runner_ready (scene->runner));
 }
 
-/* Another agent's token is higher than the clock that was reported: ours goes above it.
- */
+/* Another agent's token is higher than the reported clock: the own one goes above it. */
 static void
 token_goes_above_a_higher_one (Scene *scene)
 {
   guint64 token;
 
   scene_open (scene);
-  tell_facts (scene, "one", 1, FALSE);
-  token = open_settle (scene)->call.token;
+  send_facts (scene, "one", 1, FALSE);
+  token = open_poll (scene)->call.token;
   scene->server_ms += 5000;
-  answer (scene, open_settle (scene), CALL_FENCED);
-  pass (scene, 50);
-  g_assert_cmpuint (open_settle (scene)->call.token, >=, token + 5000);
-  answer (scene, open_settle (scene), CALL_DONE);
+  answer (scene, open_poll (scene), CALL_FENCED);
+  advance (scene, 50);
+  g_assert_cmpuint (open_poll (scene)->call.token, >=, token + 5000);
+  answer (scene, open_poll (scene), CALL_DONE);
   g_assert_true (runner_ready (scene->runner));
 }
 
-/* Symptom: runs are reported lost while the server still works on them, or never.
- * Sequence: the server falls silent.
- * Cause: a limit that is not the lease that the server holds. */
+/* Guards against reporting the runs of an unresponsive server as lost while they still go
+ * on, or never: the time limit must be the lease that the server holds. */
 static void
 silent_server_loses_its_runs (Scene *scene)
 {
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  pass (scene, LEASE_MS - 50);
+  advance (scene, LEASE_MS - 50);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_STARTED);
   for (guint i = 0; i < 40 && last_report (scene)->kind == REPORT_STARTED; i++)
     {
@@ -531,23 +518,22 @@
   g_assert_false (runner_ready (scene->runner));
 }
 
-/* Symptom: an agent drives a backend server that has restarted as if it had not.
- * Sequence: a report of the earlier life was held up in a cut and comes after the first
- * one of the new life.
- * Cause: the last report to arrive taken for the newest. */
+/* Guards against treating a restarted server as the earlier instance: a report of that
+ * one, delayed by a network cut, came after the first of the new instance and was taken
+ * for the newest. */
 static void
 earlier_life_is_not_believed (Scene *scene)
 {
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  tell_facts (scene, "two", 1, FALSE);
+  send_facts (scene, "two", 1, FALSE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_SERVER_ENDED);
-  tell_facts (scene, "one", 9, FALSE);
+  send_facts (scene, "one", 9, FALSE);
   g_assert_cmpstr (runner_instance (scene->runner), ==, "two");
 }
 
 static void
-tell_room (Scene *scene, guint64 sequence, guint cpu)
+send_capacity (Scene *scene, guint64 sequence, guint cpu)
 {
   ServerFacts facts = { .instance = "one",
                         .service = "exchange",
@@ -559,10 +545,9 @@
   runner_facts (scene->runner, &facts, scene->now);
 }
 
-/* Symptom: a backend server is loaded beyond its capacity.
- * Sequence: its room shrinks below what runs there; a run is told to stop; more is asked
- *   for. The room grows again.
- * Cause: room counted by what it was, or as free before the end of the stop is listed. */
+/* Guards against loading a server beyond its capacity when that shrinks below what runs
+ * there: free capacity was counted by the old value, or before the end of a stopped run
+ * was listed. When the capacity grows again it is used. */
 static void
 shrunk_room_takes_nothing_more (Scene *scene)
 {
@@ -570,18 +555,18 @@
 
   scene_ready (scene);
   start_running (scene, "j", 3000);
-  tell_room (scene, 100, 2000);
-  ask_start (scene, ENTRY, "k", 500);
+  send_capacity (scene, 100, 2000);
+  order_start (scene, ENTRY, "k", 500);
   g_assert_cmpstr (last_report (scene)->reason, ==, "no room");
   runner_stop (scene->runner, ENTRY, &key, scene->now);
   answer (scene, open_call (scene, CALLED_STOP), CALL_DONE);
-  ask_start (scene, ENTRY, "k", 500);
+  order_start (scene, ENTRY, "k", 500);
   g_assert_cmpstr (last_report (scene)->reason, ==, "no room");
-  list_end (scene, open_watch (scene), "j", RUN_END_STOPPED);
-  ask_start (scene, ENTRY, "l", 2500);
+  answer_ended (scene, open_long_poll (scene), "j", RUN_END_STOPPED);
+  order_start (scene, ENTRY, "l", 2500);
   g_assert_cmpstr (last_report (scene)->reason, ==, "no room");
-  tell_room (scene, 101, 4000);
-  ask_start (scene, ENTRY, "l", 2500);
+  send_capacity (scene, 101, 4000);
+  order_start (scene, ENTRY, "l", 2500);
   g_assert_nonnull (open_call (scene, CALLED_START));
 }
 
@@ -590,7 +575,7 @@
 {
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  answer (scene, open_watch (scene), CALL_OTHER_INSTANCE);
+  answer (scene, open_long_poll (scene), CALL_OTHER_INSTANCE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_SERVER_ENDED);
   g_assert_false (runner_ready (scene->runner));
 }
@@ -599,20 +584,19 @@
 draining_takes_nothing (Scene *scene)
 {
   scene_ready (scene);
-  tell_facts (scene, "one", 2, TRUE);
-  ask_start (scene, ENTRY, "j", 1000);
+  send_facts (scene, "one", 2, TRUE);
+  order_start (scene, ENTRY, "j", 1000);
   g_assert_cmpstr (last_report (scene)->reason, ==, "backend server is draining");
 }
 
-/* Symptom: a run that goes on is reported as never started, and runs a second time.
- * Sequence: an order is repeated over a new link.
- * Cause: the repetition refused under the number of the run itself. */
+/* Guards against running a task twice: an order repeated over a new link was refused
+ * under the number of the run itself, so that the run was reported as never started. */
 static void
 repeated_order_is_ignored (Scene *scene)
 {
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  ask_start (scene, ENTRY, "j", 1000);
+  order_start (scene, ENTRY, "j", 1000);
   g_assert_cmpuint (scene->n_reports, ==, 1);
   runner_extend_lease (scene->runner, OTHER_ENTRY, scene->now + 1000);
   g_assert_cmpuint (runner_used_by_others (scene->runner, OTHER_ENTRY).cpu_milli, ==,
@@ -636,9 +620,8 @@
   g_assert_cmpstr (last_report (scene)->reason, ==, "another run of the task is here");
 }
 
-/* Symptom: jobs wait to their deadline for one task on a server that hangs.
- * Sequence: all tasks on the server stand still while it answers and renews leases.
- * Cause: progress not looked at. */
+/* Guards against jobs that wait until their deadline for one task on a server that hangs
+ * but answers and renews leases: the progress of runs was not checked. */
 static void
 hung_run_is_told (Scene *scene)
 {
@@ -646,15 +629,15 @@
   start_running (scene, "j", 1000);
   for (guint i = 0; i < 4; i++)
     {
-      pass (scene, 100);
-      list_running (scene, open_settle (scene), "j", 20);
+      advance (scene, 100);
+      answer_running (scene, open_poll (scene), "j", 20);
     }
   g_assert_cmpuint (scene->stragglers, >, 0);
   g_assert_cmpuint (scene->remaining_ms, >, 10000);
   g_assert_cmpint (runner_server_health (scene->runner)->trust, ==, TRUST_NONE);
 }
 
-/* A task that is just longer than declared is no straggler: it would be so anywhere. */
+/* A task that is just longer than declared is no straggler: it takes as long anywhere. */
 static void
 long_run_is_no_straggler (Scene *scene)
 {
@@ -662,36 +645,35 @@
   start_running (scene, "j", 1000);
   for (guint i = 0; i < 8; i++)
     {
-      pass (scene, 100);
-      list_running (scene, open_settle (scene), "j", 5 * (i + 1));
+      advance (scene, 100);
+      answer_running (scene, open_poll (scene), "j", 5 * (i + 1));
     }
   g_assert_cmpuint (scene->stragglers, ==, 0);
   g_assert_cmpint (runner_server_health (scene->runner)->trust, ==, TRUST_FULL);
 }
 
-/* What each answer takes, and how many calls may be lost to find that out. */
+/* Time of each answer, and how many calls may time out before the timeout is adapted. */
 #define SLOW_ANSWER_MS 25
 #define CALLS_TO_ADAPT 8
 
-/* Symptom: a backend server on a slow VM is never used, though it answers every call.
- * Sequence: its answers take 25 ms; each call is given up after 15 ms, as the first ones
- * were. Cause: the limit was learned only from answers that came within it. */
+/* Guards against never using a server on a slow VM whose answers take 25 ms: each call
+ * timed out after 15 ms, since the timeout was learned only from answers within it. */
 static void
 slow_answers_are_waited_for (Scene *scene)
 {
   guint lost = 0;
 
   scene_open (scene);
-  tell_facts (scene, "one", 1, FALSE);
-  while (open_settle (scene)->call.timeout_ms < SLOW_ANSWER_MS)
+  send_facts (scene, "one", 1, FALSE);
+  while (open_poll (scene)->call.timeout_ms < SLOW_ANSWER_MS)
     {
       g_assert_cmpuint (lost++, <, CALLS_TO_ADAPT);
-      pass (scene, open_settle (scene)->call.timeout_ms);
-      answer (scene, open_settle (scene), CALL_UNANSWERED);
-      pass (scene, 1);
+      advance (scene, open_poll (scene)->call.timeout_ms);
+      answer (scene, open_poll (scene), CALL_UNANSWERED);
+      advance (scene, 1);
     }
-  pass (scene, SLOW_ANSWER_MS);
-  answer (scene, open_settle (scene), CALL_DONE);
+  advance (scene, SLOW_ANSWER_MS);
+  answer (scene, open_poll (scene), CALL_DONE);
   g_assert_true (runner_ready (scene->runner));
 }
 
@@ -701,15 +683,13 @@
   void (*play) (Scene *scene);
 } Case;
 
-/* Symptom: a server that answers looks idle for a second while its runs have ended; half
- * of the room of a backend server that loses answers goes unused. Sequence: the answer of
- * the call that waits for ends is lost; runs end; starts go on. Cause: starts renew the
- * lease, so that no look for its sake is due, and only the waiting call would tell the
- * ends. */
+/* Guards against ends that go unseen for a second, which left half the capacity of a
+ * server that loses answers unused: the answer of the long poll was lost, and no poll
+ * became due because starts kept renewing the lease. */
 static void
 ends_are_looked_for_under_starts (Scene *scene)
 {
-  guint looks = 0;
+  guint polls = 0;
 
   scene_ready (scene);
   for (guint i = 0; i < 4; i++)
@@ -717,17 +697,17 @@
       char *job = g_strdup_printf ("j%u", i);
 
       start_running (scene, job, 100);
-      pass (scene, RUNNER_TICK_MS);
+      advance (scene, RUNNER_TICK_MS);
       g_free (job);
     }
   for (guint i = 0; i < scene->n_calls; i++)
-    looks += scene->calls[i].what == CALLED_HOLD && scene->calls[i].wait_ms == 0
+    polls += scene->calls[i].what == CALLED_HOLD && scene->calls[i].wait_ms == 0
              && !scene->calls[i].answered;
-  g_assert_cmpuint (looks, >, 0);
+  g_assert_cmpuint (polls, >, 0);
 }
 
 static guint
-open_watches (const Scene *scene)
+count_long_polls (const Scene *scene)
 {
   guint n = 0;
 
@@ -737,54 +717,52 @@
   return n;
 }
 
-/* Symptom: each end on a backend server is told up to 100 ms late, for a second.
- * Sequence: the answer of the waiting call is lost with its connection; a look finds an
- * end that this call should have told. Cause: the call is waited for until its timeout.
- */
+/* Guards against ends that are seen up to 100 ms late for a second: the answer of the
+ * long poll was lost with its connection, and it was not replaced before its timeout
+ * although a poll had listed an end that it should have. */
 static void
 lost_watch_is_replaced (Scene *scene)
 {
   scene_ready (scene);
-  g_assert_cmpuint (open_watches (scene), ==, 1);
+  g_assert_cmpuint (count_long_polls (scene), ==, 1);
   start_running (scene, "j", 1000);
   start_running (scene, "k", 1000);
-  pass (scene, 2 * RUNNER_TICK_MS);
-  list_end (scene, open_settle (scene), "j", RUN_END_DONE);
-  pass (scene, RUNNER_TICK_MS);
-  g_assert_cmpuint (open_watches (scene), >=, 2);
-  g_assert_cmpuint (open_watch (scene)->ends_seen, ==, 1);
-  list_end (scene, open_watch (scene), "k", RUN_END_DONE);
+  advance (scene, 2 * RUNNER_TICK_MS);
+  answer_ended (scene, open_poll (scene), "j", RUN_END_DONE);
+  advance (scene, RUNNER_TICK_MS);
+  g_assert_cmpuint (count_long_polls (scene), >=, 2);
+  g_assert_cmpuint (open_long_poll (scene)->ends_seen, ==, 1);
+  answer_ended (scene, open_long_poll (scene), "k", RUN_END_DONE);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_DONE);
 }
 
-/* The answers of a look and of the waiting call often come together: that is no loss. */
+/* The answers of a poll and of the long poll often come together: none is lost then. */
 static void
 watch_that_answers_is_kept (Scene *scene)
 {
-  Call *look;
+  Call *poll;
 
   scene_ready (scene);
   start_running (scene, "j", 1000);
-  pass (scene, 2 * RUNNER_TICK_MS);
-  look = open_settle (scene);
-  list_end (scene, look, "j", RUN_END_DONE);
+  advance (scene, 2 * RUNNER_TICK_MS);
+  poll = open_poll (scene);
+  answer_ended (scene, poll, "j", RUN_END_DONE);
   scene->ends--;
-  list_end (scene, open_watch (scene), "j", RUN_END_DONE);
-  pass (scene, RUNNER_TICK_MS);
-  g_assert_cmpuint (open_watches (scene), ==, 1);
+  answer_ended (scene, open_long_poll (scene), "j", RUN_END_DONE);
+  advance (scene, RUNNER_TICK_MS);
+  g_assert_cmpuint (count_long_polls (scene), ==, 1);
 }
 
-/* Symptom: with orders that get lost on the way, short tasks miss their objective.
- * Sequence: a start goes astray, and the next, each waited for.
- * Cause: the wait, and not the proof that follows it, took most of the time. A server
- * whose answers usually take long is given longer. */
+/* Guards against short tasks that miss their latency objective when several starts are
+ * lost in a row: the timeout of each took most of the time. A server whose answers
+ * usually take long gets a longer timeout. */
 static void
 astray_start_is_noticed_soon (Scene *scene)
 {
   guint quick_ms;
 
   scene_ready (scene);
-  ask_start (scene, ENTRY, "j", 100);
+  order_start (scene, ENTRY, "j", 100);
   quick_ms = open_call (scene, CALLED_START)->call.timeout_ms;
   g_assert_cmpuint (quick_ms, <=, 20);
   for (guint i = 0; i < 20; i++)
@@ -793,37 +771,38 @@
 
       scene->now += 12;
       answer (scene, call, CALL_NO_ROOM);
-      ask_start (scene, ENTRY, "k", 100);
+      order_start (scene, ENTRY, "k", 100);
     }
   g_assert_cmpuint (open_call (scene, CALLED_START)->call.timeout_ms, >,
                     quick_ms + quick_ms);
 }
 
-/* The server refuses connections for 6 s: an answer fails as soon as it is asked for.
- * Guards against calling it thousands of times, each over a new connection. */
+/* Guards against calling a server that refuses connections thousands of times, each over
+ * a new connection: every call fails at once, here for 6 s. */
 static void
 refusing_server_is_not_stormed (Scene *scene)
 {
   scene_ready (scene);
-  ask_start (scene, ENTRY, "j", 1000);
+  order_start (scene, ENTRY, "j", 1000);
   for (guint ms = 0; ms < REFUSING_MS; ms += RUNNER_TICK_MS)
     {
       guint before = scene->n_calls;
 
-      for (guint i = 0; i < scene->n_calls && scene->n_calls < before + STORM; i++)
+      for (guint i = 0;
+           i < scene->n_calls && scene->n_calls < before + CALLS_PER_TICK_MAX; i++)
         if (!scene->calls[i].answered)
           answer (scene, &scene->calls[i], CALL_UNANSWERED);
-      pass (scene, RUNNER_TICK_MS);
+      advance (scene, RUNNER_TICK_MS);
     }
-  g_assert_cmpuint (scene->n_calls, <=, (guint64)REFUSING_MS / 1000 * DIALS_PER_S);
-  /* It is back: a call finds that out soon. */
-  pass (scene, RUNNER_TICK_MS);
-  answer (scene, open_settle (scene), CALL_DONE);
+  g_assert_cmpuint (scene->n_calls, <=, (guint64)REFUSING_MS / 1000 * CALLS_PER_S);
+  /* Once it is back, the next call notices. */
+  advance (scene, RUNNER_TICK_MS);
+  answer (scene, open_poll (scene), CALL_DONE);
   g_assert_true (runner_ready (scene->runner));
 }
 
 static void
-tell_cold (Scene *scene, guint64 sequence, guint cold_ms)
+send_cold (Scene *scene, guint64 sequence, guint cold_ms)
 {
   ServerFacts facts = { .instance = "one",
                         .service = "exchange",
@@ -836,30 +815,29 @@
   runner_facts (scene->runner, &facts, scene->now);
 }
 
-/* A server that has just started is slow for a while. Guards against taking it for slow
- * afterwards. */
+/* Guards against rating a server that is slow after its start as slow afterwards too. */
 static void
 cold_server_is_no_slow_one (Scene *scene)
 {
   scene_ready (scene);
-  tell_cold (scene, 2, COLD_MS);
+  send_cold (scene, 2, COLD_MS);
   for (guint i = 0; i < 5; i++)
     {
       start_running (scene, "j", 1000);
-      pass (scene, 4 * RUNNER_TICK_MS);
-      list_end (scene, open_watch (scene), "j", RUN_END_DONE);
+      advance (scene, 4 * RUNNER_TICK_MS);
+      answer_ended (scene, open_long_poll (scene), "j", RUN_END_DONE);
       g_assert_cmpuint (scene->last_run_ms, ==, 0);
     }
   g_assert_cmpfloat (runner_server_health (scene->runner)->slowness, >, 1.2);
-  pass (scene, COLD_MS);
+  advance (scene, COLD_MS);
   g_assert_cmpfloat (runner_server_health (scene->runner)->slowness, ==, 1);
-  /* Cold again, it is taken to be as slow as it was. */
-  tell_cold (scene, 3, COLD_MS);
+  /* Cold again, it has the slowness of its last cold time. */
+  send_cold (scene, 3, COLD_MS);
   g_assert_cmpfloat (runner_server_health (scene->runner)->slowness, >, 1.2);
 }
 
-/* The operator takes the machines of the zone away. Guards against an entry that has not
- * heard of it. */
+/* Guards against starts ordered by an entry that does not know yet that the operator has
+ * closed the zone. */
 static void
 closed_zone_takes_nothing (Scene *scene)
 {
@@ -869,7 +847,7 @@
   start_running (scene, "j", 1000);
   runner_set_zone_closed (scene->runner, TRUE);
   calls = scene->n_calls;
-  ask_start (scene, ENTRY, "k", 1000);
+  order_start (scene, ENTRY, "k", 1000);
   g_assert_cmpuint (scene->n_calls, ==, calls);
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_NOT_STARTED);
   g_assert_cmpstr (last_report (scene)->reason, ==, "availability zone is closed");
