--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -4,17 +4,18 @@
 
 #include <string.h>
 
-/* Timeout of a start: TIMEOUT_FACTOR times the mean answer time, within these limits. On
- * the server's own VM a start is answered within a few ms; the shortest latency objective
- * leaves about 90 ms for attempts, so a lost start must be resolved well before that. */
+/* A start times out after TIMEOUT_FACTOR times the mean answer time, within these limits.
+ * On the server's own VM a start is answered within a few ms; the shortest latency
+ * objective leaves about 90 ms for attempts, so a lost start must be resolved well before
+ * that. */
 #define SHORT_TIMEOUT_MS 15
 #define LONG_TIMEOUT_MS 150
 #define TIMEOUT_FACTOR 6
 /* After so many calls without an answer the timeout is doubled. If half of all calls are
  * lost, that happens by chance once in 256. */
 #define DOUBLING_CALLS 8
-#define DOUBLINGS_MAX 4 /* from the shortest to the longest timeout */
-#define CALL_TIME_RATE 0.2
+#define DOUBLINGS_MAX 4    /* from the shortest to the longest timeout */
+#define CALL_TIME_RATE 0.2 /* weight of the latest answer in the mean */
 #define STOP_TIMEOUT_MS 100
 /* Time for the answer itself, on top of the wait at the server. */
 #define LONG_POLL_ANSWER_MS 100
