--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -170,12 +170,12 @@
                          .payload = order->payload,
                          .demand = demand_from_wire (order->demand),
                          .expected_ms = order->expected_ms,
-                         .wish = wish_from_wire (order->wish),
+                         .resources = wish_from_wire (order->wish),
                          .valid_until_ms = order->valid_until_ms };
   guint before = runner_count (agent->runner);
 
   if (order->n_runs == 0)
-    on_no_room (entry, &request.wish, agent);
+    on_no_room (entry, &request.resources, agent);
   g_strlcpy (request.key.job, order->job, sizeof request.key.job);
   for (gsize i = 0; i < order->n_runs; i++)
     {
@@ -185,7 +185,7 @@
     }
   on_runner_changed (agent);
   if (runner_count (agent->runner) > before)
-    offers_used (agent->offers, entry, &request.wish, now);
+    offers_used (agent->offers, entry, &request.resources, now);
 }
 
 static void
--- a/src/runner.c
+++ b/src/runner.c
@@ -191,7 +191,7 @@
   counter_add (COUNTER_STARTS_ZONE_CLOSED, reason != NULL && runner->zone_closed);
   if (reason == NULL && !demand_fits (&runner->capacity, &runner->used, &request->demand))
     {
-      runner->ops->no_room (request->entry, &request->wish, runner->ctx);
+      runner->ops->no_room (request->entry, &request->resources, runner->ctx);
       reason = "no room";
     }
   if (reason != NULL)
--- a/src/runner.h
+++ b/src/runner.h
@@ -36,7 +36,7 @@
   const char *payload;
   Demand demand;
   guint expected_ms;     /* its run time */
-  Wish wish;             /* what else waits at that entry */
+  Wish resources;        /* what else waits at that entry */
   gint64 valid_until_ms; /* own clock; later it is refused */
 } RunRequest;
 
@@ -65,7 +65,7 @@
                      guint elsewhere_ms,
                      gpointer ctx);
   /* A start of @entry was refused for lack of free capacity. */
-  void (*no_room) (guint64 entry, const Wish *wish, gpointer ctx);
+  void (*no_room) (guint64 entry, const Wish *resources, gpointer ctx);
   /* Readiness, capacity or use have changed. */
   void (*changed) (gpointer ctx);
 } RunnerOps;
--- a/tests/lease_world.c
+++ b/tests/lease_world.c
@@ -220,7 +220,7 @@
                              .payload = "p",
                              .demand = spec->demand,
                              .expected_ms = expected_ms,
-                             .wish = *wish,
+                             .resources = *wish,
                              .valid_until_ms = valid_until_ms };
 
       g_array_append_val (entry_out (wire)->starts, request);
