--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -3,7 +3,7 @@
  * servers, reruns lost tasks and reports each job's result. Does no I/O: messages and the
  * time are passed in. */
 #include "closures.h"
-#include "lease.h"
+#include "peer_clock.h"
 #include "quality.h"
 #include "server_calls.h"
 #include "wish.h"
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -84,7 +84,7 @@
 void
 dispatcher_server_clock (LeasedServer *server, gint64 peer_ms, gint64 now_ms)
 {
-  peer_clock_hear (&server->clock, peer_ms, now_ms);
+  peer_clock_observe (&server->clock, peer_ms, now_ms);
 }
 
 void
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -144,7 +144,7 @@
   gboolean closed
       = agent->zone != NULL && closures_has (agent->closed_zones, agent->zone);
 
-  runner_close_zone (agent->runner, closed);
+  runner_set_zone_closed (agent->runner, closed);
 }
 
 static void
@@ -171,12 +171,12 @@
                          .payload = order->payload,
                          .demand = demand_from_wire (order->demand),
                          .expected_ms = order->expected_ms,
-                         .wish = wish_from_wire (order->wish),
+                         .resources = wish_from_wire (order->wish),
                          .valid_until_ms = order->valid_until_ms };
   guint before = runner_count (agent->runner);
 
   if (order->n_runs == 0)
-    on_no_room (entry, &request.wish, agent);
+    on_no_room (entry, &request.resources, agent);
   g_strlcpy (request.key.job, order->job, sizeof request.key.job);
   for (gsize i = 0; i < order->n_runs; i++)
     {
@@ -186,7 +186,7 @@
     }
   on_runner_changed (agent);
   if (runner_count (agent->runner) > before)
-    offers_used (agent->offers, entry, &request.wish, now);
+    offers_used (agent->offers, entry, &request.resources, now);
 }
 
 static void
@@ -213,7 +213,7 @@
   if (closures_hear (agent->closed_zones, frame, now))
     zones_changed (agent);
   if (frame->time != NULL && frame->time->granted_until_ms > 0)
-    runner_grant (agent->runner, peer->incarnation, frame->time->granted_until_ms);
+    runner_extend_lease (agent->runner, peer->incarnation, frame->time->granted_until_ms);
   for (gsize i = 0; i < frame->n_run_stops; i++)
     take_stop (agent, peer->incarnation, frame->run_stops[i], now);
   for (gsize i = 0; i < frame->n_run_orders; i++)
@@ -394,7 +394,7 @@
 void
 leased_agent_server_leaves (LeasedAgent *agent, const char *instance)
 {
-  runner_server_leaves (agent->runner, instance, clock_now_ms ());
+  runner_server_left (agent->runner, instance, clock_now_ms ());
 }
 
 void
