--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -5,8 +5,8 @@
 #include "closures.h"
 #include "lease.h"
 #include "quality.h"
+#include "resource_request.h"
 #include "server_calls.h"
-#include "wish.h"
 
 typedef struct Dispatcher Dispatcher;
 typedef struct LeasedJob LeasedJob;
@@ -78,11 +78,11 @@
                  const RunKey *runs,
                  gsize n_runs,
                  guint expected_ms,
-                 const Wish *wish,
+                 const ResourceRequest *wish,
                  gint64 valid_until_ms,
                  gpointer ctx);
   /* There was no room for what waits: ask a server's agent to offer some. */
-  void (*want) (LeasedServer *server, const Wish *wish, gpointer ctx);
+  void (*want) (LeasedServer *server, const ResourceRequest *wish, gpointer ctx);
   void (*stop) (LeasedServer *server, const RunKey *run, gpointer ctx);
   /* The tasks wait for a turn of dispatcher_pump (). */
   void (*pump) (gpointer ctx);
--- a/src/dispatcher_parts.h
+++ b/src/dispatcher_parts.h
@@ -172,10 +172,10 @@
 /* dispatcher_wishes.c */
 
 /** dispatcher_wish - what waits besides the jobs that are being placed. */
-Wish dispatcher_wish (const Dispatcher *dispatcher);
+ResourceRequest dispatcher_wish (const Dispatcher *dispatcher);
 
 /** server_note_wish - its agent is being told. */
-void server_note_wish (LeasedServer *server, const Wish *wish);
+void server_note_wish (LeasedServer *server, const ResourceRequest *wish);
 
 /** server_is_offered_for_better - its room is kept for something better than @rank. */
 gboolean server_is_offered_for_better (const LeasedServer *server, double rank);
--- a/src/dispatcher_place.c
+++ b/src/dispatcher_place.c
@@ -264,7 +264,7 @@
   RunKey *runs = g_new (RunKey, job->spec.count);
   gsize n = note_ordered (job, server, taken, runs);
   LeasedSpec spec = job->spec;
-  Wish wish = dispatcher_wish (dispatcher);
+  ResourceRequest wish = dispatcher_wish (dispatcher);
 
   if (n == 0)
     goto out;
--- a/src/dispatcher_wishes.c
+++ b/src/dispatcher_wishes.c
@@ -42,20 +42,20 @@
   return want_again_ms (dispatcher) * 4 / 3;
 }
 
-static Wish
+static ResourceRequest
 wish_for (const LeasedJob *job)
 {
   Dispatcher *dispatcher = job->dispatcher;
-  Wish wish = { dispatcher->n_waiting, job->waiting, job->rank, job->spec.demand,
-                want_stands_ms (dispatcher) };
+  ResourceRequest wish = { dispatcher->n_waiting, job->waiting, job->rank,
+                           job->spec.demand, want_stands_ms (dispatcher) };
 
   return wish;
 }
 
-Wish
+ResourceRequest
 dispatcher_wish (const Dispatcher *dispatcher)
 {
-  Wish nothing = { .rank = RANK_NO_CHANCE };
+  ResourceRequest nothing = { .rank = RANK_NO_CHANCE };
 
   for (guint i = 0; i < dispatcher->ordered->len; i++)
     {
@@ -68,7 +68,7 @@
 }
 
 void
-server_note_wish (LeasedServer *server, const Wish *wish)
+server_note_wish (LeasedServer *server, const ResourceRequest *wish)
 {
   server->wanted_ms = server->dispatcher->now_ms;
   server->wanted_rank = wish->rank;
@@ -115,7 +115,7 @@
   TAILQ_FOREACH (server, &dispatcher->servers, link)
     {
       const LeasedJob *job;
-      Wish wish;
+      ResourceRequest wish;
 
       if (left == 0)
         return;
@@ -135,7 +135,7 @@
 void
 dispatcher_decline_offers (Dispatcher *dispatcher)
 {
-  const Wish nothing = { .rank = RANK_NO_CHANCE };
+  const ResourceRequest nothing = { .rank = RANK_NO_CHANCE };
   LeasedServer *server;
 
   TAILQ_FOREACH (server, &dispatcher->servers, link)
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -95,7 +95,7 @@
 }
 
 static void
-on_no_room (guint64 entry, const Wish *wish, gpointer ctx)
+on_no_room (guint64 entry, const ResourceRequest *wish, gpointer ctx)
 {
   LeasedAgent *agent = ctx;
 
@@ -170,7 +170,7 @@
                          .payload = order->payload,
                          .demand = demand_from_wire (order->demand),
                          .expected_ms = order->expected_ms,
-                         .wish = wish_from_wire (order->wish),
+                         .wish = resource_request_from_wire (order->wish),
                          .valid_until_ms = order->valid_until_ms };
   guint before = runner_count (agent->runner);
 
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -34,7 +34,7 @@
           const RunKey *runs,
           gsize n_runs,
           guint expected_ms,
-          const Wish *wish,
+          const ResourceRequest *wish,
           gint64 valid_until_ms,
           gpointer ctx)
 {
@@ -46,7 +46,7 @@
   order->payload = g_strdup (spec->payload);
   order->valid_until_ms = valid_until_ms;
   order->expected_ms = expected_ms;
-  order->wish = wish_to_wire (wish);
+  order->wish = resource_request_to_wire (wish);
   order->demand = g_new (Gw__Demand, 1);
   demand_to_wire (&spec->demand, order->demand);
   order->n_runs = n_runs;
@@ -58,13 +58,13 @@
 }
 
 static void
-on_want (LeasedServer *server, const Wish *wish, gpointer ctx)
+on_want (LeasedServer *server, const ResourceRequest *wish, gpointer ctx)
 {
   MeshPeer *peer = leased_server_owner (server);
   Gw__RunOrder *order = g_new (Gw__RunOrder, 1);
 
   gw__run_order__init (order);
-  order->wish = wish_to_wire (wish);
+  order->wish = resource_request_to_wire (wish);
   counter_add (COUNTER_WISHES_SENT, 1);
   link_append (peer->link, LINK_RUN_ORDERS, &order->base);
 }
--- a/src/offers.c
+++ b/src/offers.c
@@ -3,7 +3,7 @@
 typedef struct
 {
   guint64 entry;
-  Wish wish;
+  ResourceRequest wish;
   gint64 refused_ms;
 } Wanting;
 
@@ -53,7 +53,7 @@
 static gboolean
 is_old (const Wanting *wanting, gint64 now_ms)
 {
-  return now_ms - wanting->refused_ms > wanting->wish.stands_ms;
+  return now_ms - wanting->refused_ms > wanting->wish.valid_ms;
 }
 
 static void
@@ -100,7 +100,7 @@
 }
 
 static gboolean
-goes_before (const Wish *wish, const Wish *other)
+goes_before (const ResourceRequest *wish, const ResourceRequest *other)
 {
   if (wish->rank != other->rank)
     return wish->rank < other->rank;
@@ -129,7 +129,7 @@
 
 /* As much as the first job there can use. */
 static Demand
-kept_for (const Wish *wish, const Demand *rest)
+kept_for (const ResourceRequest *wish, const Demand *rest)
 {
   Demand kept = { 0 };
 
@@ -159,7 +159,7 @@
 }
 
 void
-offers_refused (Offers *offers, guint64 entry, const Wish *wish, gint64 now_ms)
+offers_refused (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms)
 {
   Wanting wanting = { entry, *wish, now_ms };
 
@@ -183,7 +183,7 @@
 }
 
 void
-offers_used (Offers *offers, guint64 entry, const Wish *wish, gint64 now_ms)
+offers_used (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms)
 {
   offers_refused (offers, entry, wish, now_ms);
 }
--- a/src/offers.h
+++ b/src/offers.h
@@ -5,7 +5,7 @@
  * of the entry whose job has the best rank, what is left for the next one, and so on, so
  * that the order of jobs holds over all entries; what none of them can use all may use.
  */
-#include "wish.h"
+#include "resource_request.h"
 
 typedef struct Offers Offers;
 
@@ -13,7 +13,10 @@
 void offers_free (Offers *offers);
 
 /** offers_refused - this waits at @entry, which found no room; nothing may wait there. */
-void offers_refused (Offers *offers, guint64 entry, const Wish *wish, gint64 now_ms);
+void offers_refused (Offers *offers,
+                     guint64 entry,
+                     const ResourceRequest *wish,
+                     gint64 now_ms);
 
 /** offers_room - so much is free now. */
 void offers_room (Offers *offers, const Demand *room);
@@ -22,7 +25,8 @@
 void offers_freed (Offers *offers, gint64 now_ms);
 
 /** offers_used - @entry has started all that it ordered; this still waits there. */
-void offers_used (Offers *offers, guint64 entry, const Wish *wish, gint64 now_ms);
+void
+offers_used (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms);
 
 /** offers_tick - let offers lapse that were not taken. */
 void offers_tick (Offers *offers, gint64 now_ms);
--- a/src/wish.c
+++ b/src/resource_request.c
@@ -1,25 +1,25 @@
-#include "wish.h"
+#include "resource_request.h"
 
 /* Of a sender that does not say for how long. */
-#define STANDS_UNTOLD_MS 80
+#define DEFAULT_VALID_MS 80
 
-Wish
-wish_from_wire (const Gw__Wish *wire)
+ResourceRequest
+resource_request_from_wire (const Gw__Wish *wire)
 {
-  Wish wish = { 0 };
+  ResourceRequest wish = { 0 };
 
   if (wire == NULL)
     return wish;
   wish.tasks = wire->tasks;
   wish.first_tasks = wire->first_tasks;
   wish.rank = wire->rank;
-  wish.stands_ms = wire->stands_ms > 0 ? wire->stands_ms : STANDS_UNTOLD_MS;
+  wish.valid_ms = wire->stands_ms > 0 ? wire->stands_ms : DEFAULT_VALID_MS;
   wish.need = demand_from_wire (wire->need);
   return wish;
 }
 
 Gw__Wish *
-wish_to_wire (const Wish *wish)
+resource_request_to_wire (const ResourceRequest *wish)
 {
   Gw__Wish *wire = g_new (Gw__Wish, 1);
 
@@ -27,7 +27,7 @@
   wire->tasks = wish->tasks;
   wire->first_tasks = wish->first_tasks;
   wire->rank = wish->rank;
-  wire->stands_ms = wish->stands_ms;
+  wire->stands_ms = wish->valid_ms;
   wire->need = g_new (Gw__Demand, 1);
   demand_to_wire (&wish->need, wire->need);
   return wire;
--- a/src/wish.h
+++ b/src/resource_request.h
@@ -9,12 +9,13 @@
   guint first_tasks; /* of the job that is first there */
   double rank;       /* of that job; the least goes first */
   Demand need;       /* of one of its tasks */
-  guint stands_ms;   /* it is forgotten after this */
-} Wish;
+  guint valid_ms;    /* it is forgotten after this */
+} ResourceRequest;
 
-/** wish_from_wire - NULL is nothing at all. */
-Wish wish_from_wire (const Gw__Wish *wire);
+/** resource_request_from_wire - NULL is nothing at all. */
+ResourceRequest resource_request_from_wire (const Gw__Wish *wire);
 
-/** wish_to_wire - Return: a message of its own, freed with the one that it is put into.
+/** resource_request_to_wire - Return: a message of its own, freed with the one that it is
+ * put into.
  */
-Gw__Wish *wish_to_wire (const Wish *wish);
+Gw__Wish *resource_request_to_wire (const ResourceRequest *wish);
--- a/src/runner.h
+++ b/src/runner.h
@@ -4,8 +4,8 @@
  * nobody leases any more. No I/O of its own: calls go through ServerCalls, the time is
  * handed in. */
 #include "quality.h"
+#include "resource_request.h"
 #include "server_calls.h"
-#include "wish.h"
 
 typedef struct Runner Runner;
 
@@ -36,7 +36,7 @@
   const char *payload;
   Demand demand;
   guint expected_ms;     /* its run time */
-  Wish wish;             /* what waits where it comes from */
+  ResourceRequest wish;  /* what waits where it comes from */
   gint64 valid_until_ms; /* own clock; later it is refused */
 } RunRequest;
 
@@ -65,7 +65,7 @@
                      guint elsewhere_ms,
                      gpointer ctx);
   /* @entry asked for a start and there was no room. */
-  void (*no_room) (guint64 entry, const Wish *wish, gpointer ctx);
+  void (*no_room) (guint64 entry, const ResourceRequest *wish, gpointer ctx);
   /* Readiness, capacity or use have changed. */
   void (*changed) (gpointer ctx);
 } RunnerOps;
--- a/tests/lease_world.c
+++ b/tests/lease_world.c
@@ -207,7 +207,7 @@
           const RunKey *keys,
           gsize n,
           guint expected_ms,
-          const Wish *wish,
+          const ResourceRequest *wish,
           gint64 valid_until_ms,
           gpointer ctx)
 {
@@ -242,7 +242,7 @@
 
 /* Offers of room are left out here: they change who starts, not what may. */
 static void
-on_want (LeasedServer *server, const Wish *wish, gpointer ctx)
+on_want (LeasedServer *server, const ResourceRequest *wish, gpointer ctx)
 {
 }
 
@@ -330,7 +330,7 @@
 }
 
 static void
-on_no_room (guint64 incarnation, const Wish *wish, gpointer ctx)
+on_no_room (guint64 incarnation, const ResourceRequest *wish, gpointer ctx)
 {
 }
 
--- a/tests/load_replay_parts.h
+++ b/tests/load_replay_parts.h
@@ -93,7 +93,7 @@
   RunKey key;
   gint64 valid_until_ms; /* of an order */
   guint late_there_ms;   /* what the agent has heard of the entry came this late */
-  Wish wish;
+  ResourceRequest wish;
   TaskReport report;
   Demand used_by_others;
   gboolean offered;
--- a/tests/test-dispatcher.c
+++ b/tests/test-dispatcher.c
@@ -47,7 +47,7 @@
           const RunKey *runs,
           gsize n_runs,
           guint expected_ms,
-          const Wish *wish,
+          const ResourceRequest *wish,
           gint64 valid_until_ms,
           gpointer ctx)
 {
@@ -67,7 +67,7 @@
 }
 
 static void
-on_want (LeasedServer *server, const Wish *wish, gpointer ctx)
+on_want (LeasedServer *server, const ResourceRequest *wish, gpointer ctx)
 {
   Scene *scene = ctx;
 
--- a/tests/test-offers.c
+++ b/tests/test-offers.c
@@ -36,7 +36,7 @@
 static void
 wants (Offers *offers, guint64 entry, guint tasks, double rank, gint64 now_ms)
 {
-  Wish wish = { tasks, tasks, rank, need, STANDS_MS };
+  ResourceRequest wish = { tasks, tasks, rank, need, STANDS_MS };
 
   offers_refused (offers, entry, &wish, now_ms);
 }
@@ -44,7 +44,7 @@
 static void
 uses (Offers *offers, guint64 entry, guint tasks_left, double rank, gint64 now_ms)
 {
-  Wish wish = { tasks_left, tasks_left, rank, need, STANDS_MS };
+  ResourceRequest wish = { tasks_left, tasks_left, rank, need, STANDS_MS };
 
   offers_used (offers, entry, &wish, now_ms);
 }
--- a/tests/test-runner.c
+++ b/tests/test-runner.c
@@ -127,7 +127,7 @@
 }
 
 static void
-on_no_room (guint64 entry, const Wish *wish, gpointer ctx)
+on_no_room (guint64 entry, const ResourceRequest *wish, gpointer ctx)
 {
 }
 
