--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -40,7 +40,7 @@
   Demand room = *runner_capacity (agent->runner);
 
   demand_subtract (&room, runner_used (agent->runner));
-  offers_room (agent->offers, &room);
+  offers_set_free (agent->offers, &room);
 }
 
 /* Nobody waits for the word that a run has started: it goes with the next frame, often
@@ -54,7 +54,7 @@
   if (report->kind != REPORT_STARTED && report->kind != REPORT_NOT_STARTED)
     {
       tell_offers_room (agent);
-      offers_freed (agent->offers, clock_now_ms ());
+      offers_capacity_freed (agent->offers, clock_now_ms ());
     }
   if (peer == NULL || peer->link == NULL)
     return;
@@ -99,7 +99,7 @@
 {
   LeasedAgent *agent = ctx;
 
-  offers_refused (agent->offers, entry, wish, clock_now_ms ());
+  offers_request (agent->offers, entry, wish, clock_now_ms ());
 }
 
 static const RunnerOps runner_ops
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -43,7 +43,7 @@
 hide_kept_room (const LeasedAgent *agent, guint64 entry, State *state)
 {
   Demand kept = *runner_capacity (agent->runner);
-  Demand visible = offers_room_for (agent->offers, entry);
+  Demand visible = offers_available_to (agent->offers, entry);
 
   demand_subtract (&kept, runner_used (agent->runner));
   demand_subtract (&kept, &visible);
@@ -66,7 +66,7 @@
   state.failing_percent = in_steps (quality->failing, 20);
   state.capacity = *runner_capacity (agent->runner);
   state.used_by_others = runner_used_by_others (agent->runner, entry);
-  state.offered = offers_keep (agent->offers, entry);
+  state.offered = offers_is_reserved_for (agent->offers, entry);
   hide_kept_room (agent, entry, &state);
   return state;
 }
--- a/src/offers.c
+++ b/src/offers.c
@@ -159,7 +159,7 @@
 }
 
 void
-offers_refused (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms)
+offers_request (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms)
 {
   Wanting wanting = { entry, *wish, now_ms };
 
@@ -171,13 +171,13 @@
 }
 
 void
-offers_room (Offers *offers, const Demand *room)
+offers_set_free (Offers *offers, const Demand *room)
 {
   offers->room = *room;
 }
 
 void
-offers_freed (Offers *offers, gint64 now_ms)
+offers_capacity_freed (Offers *offers, gint64 now_ms)
 {
   hand_out (offers, now_ms);
 }
@@ -185,7 +185,7 @@
 void
 offers_used (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms)
 {
-  offers_refused (offers, entry, wish, now_ms);
+  offers_request (offers, entry, wish, now_ms);
 }
 
 void
@@ -214,13 +214,13 @@
 }
 
 gboolean
-offers_keep (const Offers *offers, guint64 entry)
+offers_is_reserved_for (const Offers *offers, guint64 entry)
 {
   return find_offer (offers, entry) != NULL;
 }
 
 Demand
-offers_room_for (const Offers *offers, guint64 entry)
+offers_available_to (const Offers *offers, guint64 entry)
 {
   const Offer *offer = find_offer (offers, entry);
   Demand room = rest_of (offers);
--- a/src/offers.h
+++ b/src/offers.h
@@ -12,17 +12,17 @@
 Offers *offers_new (void);
 void offers_free (Offers *offers);
 
-/** offers_refused - this waits at @entry, which found no room; nothing may wait there. */
-void offers_refused (Offers *offers,
+/** offers_request - this waits at @entry, which found no room; nothing may wait there. */
+void offers_request (Offers *offers,
                      guint64 entry,
                      const ResourceRequest *wish,
                      gint64 now_ms);
 
-/** offers_room - so much is free now. */
-void offers_room (Offers *offers, const Demand *room);
+/** offers_set_free - so much is free now. */
+void offers_set_free (Offers *offers, const Demand *room);
 
-/** offers_freed - there is room again. */
-void offers_freed (Offers *offers, gint64 now_ms);
+/** offers_capacity_freed - there is room again. */
+void offers_capacity_freed (Offers *offers, gint64 now_ms);
 
 /** offers_used - @entry has started all that it ordered; this still waits there. */
 void
@@ -34,11 +34,11 @@
 /** offers_open - whether room is kept for any entry now. */
 gboolean offers_open (const Offers *offers);
 
-/** offers_keep - whether room is kept for @entry. */
-gboolean offers_keep (const Offers *offers, guint64 entry);
+/** offers_is_reserved_for - whether room is kept for @entry. */
+gboolean offers_is_reserved_for (const Offers *offers, guint64 entry);
 
-/** offers_room_for - what @entry may use of what is free. */
-Demand offers_room_for (const Offers *offers, guint64 entry);
+/** offers_available_to - what @entry may use of what is free. */
+Demand offers_available_to (const Offers *offers, guint64 entry);
 
 /* An offer is taken within two ways through the network and a turn of both loops. */
 #define OFFER_MS 6
--- a/tests/load_agents.c
+++ b/tests/load_agents.c
@@ -32,7 +32,7 @@
       gint64 wait_ms
           = server->told_ms[i] + pace_interval_ms (&known->state_pace) - replay->now;
 
-      if (offers_keep (server->offers, i + 1))
+      if (offers_is_reserved_for (server->offers, i + 1))
         wait_ms = 0;
       tell_later (replay, server, &replay->entries[i], MAX (wait_ms, 0));
     }
@@ -44,7 +44,7 @@
   Demand room = server->capacity;
 
   demand_subtract (&room, &server->used);
-  offers_room (server->offers, &room);
+  offers_set_free (server->offers, &room);
 }
 
 void
@@ -67,7 +67,7 @@
     }
   if (!demand_fits (&server->capacity, &server->used, &need))
     {
-      offers_refused (server->offers, event->entry->index + 1, &event->wish, replay->now);
+      offers_request (server->offers, event->entry->index + 1, &event->wish, replay->now);
       told.event = TASK_NOT_STARTED;
       told.reason = "no room";
       report (replay, server, waiter, &told);
@@ -106,7 +106,7 @@
   demand_subtract (&server->used_by[waiter->entry->index], &need);
   server->freed_ms = replay->now;
   tell_offers_room (replay, server);
-  offers_freed (server->offers, replay->now);
+  offers_capacity_freed (server->offers, replay->now);
   report (replay, server, waiter, &told);
   agent_changed (replay, server);
 }
@@ -135,14 +135,14 @@
   server->telling[i] = FALSE;
   server->told_ms[i] = replay->now;
   offers_tick (server->offers, replay->now);
-  visible = offers_room_for (server->offers, i + 1);
+  visible = offers_available_to (server->offers, i + 1);
   used = server->capacity;
   demand_subtract (&used, &visible);
   demand_subtract (&used, &server->used_by[i]);
   told = event_at (replay, link_to_entry (replay, event->entry, STATE_BYTES), EVENT_TOLD,
                    event->entry, server);
   told->used_by_others = used;
-  told->offered = offers_keep (server->offers, i + 1);
+  told->offered = offers_is_reserved_for (server->offers, i + 1);
   if (offers_open (server->offers))
     tell_later (replay, server, event->entry, OFFER_MS);
 }
--- a/tests/load_replay.c
+++ b/tests/load_replay.c
@@ -188,7 +188,7 @@
       break;
     case EVENT_WANTED:
       link_heard_by_agent (replay, event);
-      offers_refused (event->server->offers, event->entry->index + 1, &event->wish,
+      offers_request (event->server->offers, event->entry->index + 1, &event->wish,
                       replay->now);
       agent_changed (replay, event->server);
       break;
--- a/tests/test-offers.c
+++ b/tests/test-offers.c
@@ -14,21 +14,21 @@
 {
   Demand room = { tasks * need.cpu_milli, tasks * need.memory_mb, 0 };
 
-  offers_room (offers, &room);
+  offers_set_free (offers, &room);
 }
 
 static void
 frees (Offers *offers, guint tasks, gint64 now_ms)
 {
   set_room (offers, tasks);
-  offers_freed (offers, now_ms);
+  offers_capacity_freed (offers, now_ms);
 }
 
 static gboolean
 may_use (const Offers *offers, guint64 entry)
 {
   static const Demand nothing;
-  Demand room = offers_room_for (offers, entry);
+  Demand room = offers_available_to (offers, entry);
 
   return demand_fits (&room, &nothing, &need);
 }
@@ -38,7 +38,7 @@
 {
   ResourceRequest wish = { tasks, tasks, rank, need, STANDS_MS };
 
-  offers_refused (offers, entry, &wish, now_ms);
+  offers_request (offers, entry, &wish, now_ms);
 }
 
 static void
@@ -167,13 +167,13 @@
   wants (offers, NEAR, 1, 0.5, 100);
   wants (offers, FAR, 1, 0.7, 100);
   frees (offers, 3, 101);
-  g_assert_true (offers_keep (offers, NEAR));
-  g_assert_true (offers_keep (offers, FAR));
-  room = offers_room_for (offers, NEAR);
+  g_assert_true (offers_is_reserved_for (offers, NEAR));
+  g_assert_true (offers_is_reserved_for (offers, FAR));
+  room = offers_available_to (offers, NEAR);
   g_assert_cmpuint (room.cpu_milli, ==, need.cpu_milli + need.cpu_milli);
-  room = offers_room_for (offers, FAR);
+  room = offers_available_to (offers, FAR);
   g_assert_cmpuint (room.cpu_milli, ==, need.cpu_milli + need.cpu_milli);
-  room = offers_room_for (offers, 3);
+  room = offers_available_to (offers, 3);
   g_assert_cmpuint (room.cpu_milli, ==, need.cpu_milli);
   offers_free (offers);
 }
@@ -191,7 +191,7 @@
   frees (offers, 1, 101);
   g_assert_false (may_use (offers, FAR));
   wants (offers, NEAR, 0, 0, 102);
-  g_assert_true (offers_keep (offers, FAR));
+  g_assert_true (offers_is_reserved_for (offers, FAR));
   g_assert_false (may_use (offers, NEAR));
   offers_free (offers);
 }
@@ -204,7 +204,7 @@
 
   set_room (offers, 1);
   wants (offers, FAR, 1, 0.7, 100);
-  g_assert_true (offers_keep (offers, FAR));
+  g_assert_true (offers_is_reserved_for (offers, FAR));
   offers_free (offers);
 }
 
