--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -4,9 +4,9 @@
  * messages and the time are handed in. */
 #include "closures.h"
 #include "lease.h"
-#include "quality.h"
 #include "resource_request.h"
 #include "server_calls.h"
+#include "server_health.h"
 
 typedef struct Dispatcher Dispatcher;
 typedef struct LeasedJob LeasedJob;
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -54,7 +54,7 @@
 state_for (const LeasedAgent *agent, const MeshPeer *peer)
 {
   guint64 entry = peer->incarnation;
-  const Quality *quality = runner_quality (agent->runner);
+  const ServerHealth *quality = runner_quality (agent->runner);
   State state;
 
   memset (&state, 0, sizeof state);
--- a/src/runner.c
+++ b/src/runner.c
@@ -310,7 +310,7 @@
 
   if (runner->n_runs == 0)
     runner->quality.stalls = 0;
-  quality_tick (&runner->quality, runner->now_ms);
+  server_health_tick (&runner->quality, runner->now_ms);
   if (runner->quality.trust != before)
     runner->ops->changed (runner->ctx);
 }
@@ -397,7 +397,7 @@
   return &runner->capacity;
 }
 
-const Quality *
+const ServerHealth *
 runner_quality (const Runner *runner)
 {
   return &runner->quality;
--- a/src/runner.h
+++ b/src/runner.h
@@ -3,9 +3,9 @@
  * within its capacity, holds its lease, fences orders that went astray, and stops what
  * nobody leases any more. No I/O of its own: calls go through ServerCalls, the time is
  * handed in. */
-#include "quality.h"
 #include "resource_request.h"
 #include "server_calls.h"
+#include "server_health.h"
 
 typedef struct Runner Runner;
 
@@ -113,7 +113,7 @@
 guint runner_count (const Runner *runner);
 const char *runner_instance (const Runner *runner);
 const Demand *runner_capacity (const Runner *runner);
-const Quality *runner_quality (const Runner *runner);
+const ServerHealth *runner_quality (const Runner *runner);
 
 const Demand *runner_used (const Runner *runner);
 
--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -134,7 +134,7 @@
 static void
 run_refused (Runner *runner, Run *run, const char *reason)
 {
-  quality_astray (&runner->quality, runner->now_ms);
+  server_health_start_lost (&runner->quality, runner->now_ms);
   run_end (runner, run, REPORT_NOT_STARTED, reason);
 }
 
--- a/src/runner_life.c
+++ b/src/runner_life.c
@@ -88,7 +88,7 @@
   runner->ends_seen = 0;
   runner->unanswered = 0;
   set_cold (runner, FALSE);
-  quality_init (&runner->quality);
+  server_health_init (&runner->quality);
   runner->leased_until = 0;
   memset (&runner->clock, 0, sizeof runner->clock);
   runner_set_state (runner, LIFE_CLEARING);
--- a/src/runner_parts.h
+++ b/src/runner_parts.h
@@ -83,7 +83,7 @@
   double call_ms;   /* what an answer usually takes */
   gint64 now_ms;    /* of the call that is being handled */
   Demand capacity;
-  Quality quality;
+  ServerHealth quality;
   gboolean server_draining;
   gint64 cold_until_ms; /* it says that it runs slower until then */
   gboolean cold;
--- a/src/runner_progress.c
+++ b/src/runner_progress.c
@@ -25,9 +25,9 @@
   if (!failed)
     histogram_observe (HISTOGRAM_RUN, (gint64)elapsed);
   if (!failed && !run->rated)
-    quality_slow (&runner->quality, elapsed / run->expected_ms);
+    server_health_run_slow (&runner->quality, elapsed / run->expected_ms);
   run->rated = TRUE;
-  quality_ended (&runner->quality, failed, runner->now_ms);
+  server_health_run_ended (&runner->quality, failed, runner->now_ms);
   if (runner->quality.trust != before)
     event_note ("server-trust", "-", "server=%s trust=%d before=%d failing=%.2f",
                 runner->instance, runner->quality.trust, before, runner->quality.failing);
@@ -91,7 +91,7 @@
   if (run->rated || whole_ms == 0)
     return;
   run->rated = TRUE;
-  quality_slow (&runner->quality, whole_ms / run->expected_ms);
+  server_health_run_slow (&runner->quality, whole_ms / run->expected_ms);
 }
 
 static void
@@ -124,7 +124,7 @@
         moving++;
       tell_straggler (runner, run);
     }
-  quality_looked (&runner->quality, stalled, moving, runner->now_ms);
+  server_health_progress (&runner->quality, stalled, moving, runner->now_ms);
   if (runner->quality.trust == before)
     return;
   event_note ("server-trust", "-", "server=%s trust=%d before=%d stalled=%u moving=%u",
--- a/src/quality.c
+++ b/src/server_health.c
@@ -1,4 +1,4 @@
-#include "quality.h"
+#include "server_health.h"
 
 #include <math.h>
 
@@ -8,7 +8,7 @@
 #define FAILING_LIMIT 0.4
 #define FAILING_GOOD 0.25
 /* Single starts go astray on the way to sound servers; five in a row do not. */
-#define ASTRAY_RATE 0.1
+#define LOST_START_RATE 0.1
 /* Run times differ by about half of their mean by nature: single ones say little. */
 #define SLOWNESS_RATE 0.15
 #define SLOWNESS_MOST 20.0
@@ -19,15 +19,15 @@
 #define DISTRUST_DOUBLINGS 3
 
 void
-quality_init (Quality *quality)
+server_health_init (ServerHealth *quality)
 {
-  Quality fresh = { .trust = TRUST_FULL, .slowness = 1 };
+  ServerHealth fresh = { .trust = TRUST_FULL, .slowness = 1 };
 
   *quality = fresh;
 }
 
 static void
-distrust (Quality *quality, gint64 now_ms)
+distrust (ServerHealth *quality, gint64 now_ms)
 {
   if (quality->trust == TRUST_NONE)
     return;
@@ -38,7 +38,7 @@
 }
 
 static void
-trust_again (Quality *quality)
+trust_again (ServerHealth *quality)
 {
   quality->trust = TRUST_FULL;
   quality->periods = 0;
@@ -46,7 +46,7 @@
 }
 
 static void
-forget_slowness (Quality *quality, gint64 now_ms)
+forget_slowness (ServerHealth *quality, gint64 now_ms)
 {
   gint64 passed = now_ms - quality->faded_ms;
 
@@ -57,7 +57,7 @@
 }
 
 void
-quality_slow (Quality *quality, double ratio)
+server_health_run_slow (ServerHealth *quality, double ratio)
 {
   double bounded = CLAMP (ratio, 1 / SLOWNESS_MOST, SLOWNESS_MOST);
 
@@ -67,7 +67,7 @@
 }
 
 void
-quality_ended (Quality *quality, gboolean failed, gint64 now_ms)
+server_health_run_ended (ServerHealth *quality, gboolean failed, gint64 now_ms)
 {
   quality->failing += FAILING_RATE * ((failed ? 1.0 : 0.0) - quality->failing);
   if (failed && (quality->failing > FAILING_LIMIT || quality->trust == TRUST_PROBE))
@@ -77,15 +77,15 @@
 }
 
 void
-quality_astray (Quality *quality, gint64 now_ms)
+server_health_start_lost (ServerHealth *quality, gint64 now_ms)
 {
-  quality->failing += ASTRAY_RATE * (1 - quality->failing);
+  quality->failing += LOST_START_RATE * (1 - quality->failing);
   if (quality->failing > FAILING_LIMIT || quality->trust == TRUST_PROBE)
     distrust (quality, now_ms);
 }
 
 void
-quality_looked (Quality *quality, guint stalled, guint moving, gint64 now_ms)
+server_health_progress (ServerHealth *quality, guint stalled, guint moving, gint64 now_ms)
 {
   quality->stalls = stalled;
   if (stalled > 0 && moving == 0)
@@ -96,7 +96,7 @@
 }
 
 void
-quality_tick (Quality *quality, gint64 now_ms)
+server_health_tick (ServerHealth *quality, gint64 now_ms)
 {
   forget_slowness (quality, now_ms);
   if (quality->trust == TRUST_NONE && now_ms >= quality->until_ms && quality->stalls == 0)
--- a/tests/lease_world.c
+++ b/tests/lease_world.c
@@ -444,7 +444,7 @@
 fill_status (Wire *wire, Message *message)
 {
   Runner *runner = wire->agent->runner;
-  const Quality *quality = runner_quality (runner);
+  const ServerHealth *quality = runner_quality (runner);
 
   if (!message->status || runner_instance (runner) == NULL)
     {
