--- a/src/arrivals.c
+++ b/src/arrivals.c
@@ -24,7 +24,7 @@
 static double
 left_of (const Arrivals *arrivals, gint64 now_ms)
 {
-  return exp (-(double)(now_ms - arrivals->faded_ms) / FADE_MS);
+  return exp (-(double)(now_ms - arrivals->decayed_ms) / FADE_MS);
 }
 
 void
@@ -38,7 +38,7 @@
     return;
   for (guint i = 0; i < ARRIVALS_STEPS; i++)
     arrivals->work[i] *= left;
-  arrivals->faded_ms = now_ms;
+  arrivals->decayed_ms = now_ms;
   arrivals->work[step_of (rank)] += work;
 }
 
--- a/src/arrivals.h
+++ b/src/arrivals.h
@@ -10,7 +10,7 @@
 typedef struct
 {
   double work[ARRIVALS_STEPS]; /* by rank, fading */
-  gint64 faded_ms;
+  gint64 decayed_ms;
   gint64 first_ms; /* 0: nothing has arrived */
 } Arrivals;
 
--- a/src/queue_estimate.c
+++ b/src/queue_estimate.c
@@ -41,11 +41,11 @@
 static void
 fade (TeamWork *work, gint64 now_ms)
 {
-  double kept = exp (-(double)MAX (now_ms - work->faded_ms, 0) / ARRIVAL_MEMORY_MS);
+  double kept = exp (-(double)MAX (now_ms - work->decayed_ms, 0) / ARRIVAL_MEMORY_MS);
 
   for (guint i = 0; i < WORK_CLASSES; i++)
     work->rate[i] *= kept;
-  work->faded_ms = MAX (work->faded_ms, now_ms);
+  work->decayed_ms = MAX (work->decayed_ms, now_ms);
 }
 
 void
--- a/src/queue_parts.h
+++ b/src/queue_parts.h
@@ -13,7 +13,7 @@
 {
   double waiting_ms[WORK_CLASSES];
   double rate[WORK_CLASSES]; /* ms of work a ms */
-  gint64 faded_ms;           /* when the rates were last faded */
+  gint64 decayed_ms;         /* when the rates were last faded */
 } TeamWork;
 
 typedef struct QueueTeam
--- a/src/server_health.c
+++ b/src/server_health.c
@@ -48,12 +48,12 @@
 static void
 forget_slowness (ServerHealth *quality, gint64 now_ms)
 {
-  gint64 passed = now_ms - quality->faded_ms;
+  gint64 passed = now_ms - quality->decayed_ms;
 
-  if (quality->faded_ms != 0 && passed > 0 && quality->slowness > 1)
+  if (quality->decayed_ms != 0 && passed > 0 && quality->slowness > 1)
     quality->slowness
         = pow (quality->slowness, exp2 (-(double)passed / SLOWNESS_HALF_MS));
-  quality->faded_ms = now_ms;
+  quality->decayed_ms = now_ms;
 }
 
 void
--- a/src/server_health.h
+++ b/src/server_health.h
@@ -14,12 +14,12 @@
 typedef struct
 {
   Trust trust;
-  double slowness; /* mean of run times against the expected ones */
-  double failing;  /* share of failures among recent ends */
-  guint stalls;    /* runs that stand still now */
-  guint periods;   /* without trust in a row, for the backoff */
-  gint64 until_ms; /* end of the period without trust */
-  gint64 faded_ms; /* when slowness was last let fade */
+  double slowness;   /* mean of run times against the expected ones */
+  double failing;    /* share of failures among recent ends */
+  guint stalls;      /* runs that stand still now */
+  guint periods;     /* without trust in a row, for the backoff */
+  gint64 until_ms;   /* end of the period without trust */
+  gint64 decayed_ms; /* when slowness was last let fade */
 } ServerHealth;
 
 void server_health_init (ServerHealth *quality);
