--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -130,7 +130,7 @@
   'if (FALSE)' test-once /once/new-owner-after-settlement
 mutant look-by-lease src/runner.c 'MIN (runner->lease_sent_ms, runner->listed_ms)' \
   'runner->lease_sent_ms' test-runner /runner/ends-are-looked-for-under-starts
-mutant lost-watch-waits src/watches.c 'if (place->number == 0 || place->overdue_ms == 0' \
+mutant lost-watch-waits src/long_polls.c 'if (place->number == 0 || place->overdue_ms == 0' \
   'if (TRUE' test-runner /runner/lost-watch-is-replaced
 mutant crowded-out-waits src/dispatcher_order.c 'if (nothing_ordered (job)
           &&' 'if (FALSE &&' test-load /load/overload
--- a/src/watches.c
+++ b/src/long_polls.c
@@ -1,4 +1,4 @@
-#include "watches.h"
+#include "long_polls.h"
 
 /* The answer of a call that waits comes with that of any other call that tells the same
  * end; on one VM they are not apart by more than a turn of the loop. */
@@ -11,26 +11,26 @@
 #define LOSSY_WAIT_MS 100
 
 void
-watches_forget (Watches *watches)
+long_polls_reset (LongPolls *watches)
 {
-  for (guint i = 0; i < WATCHES_MAX; i++)
+  for (guint i = 0; i < LONG_POLLS_MAX; i++)
     watches->places[i].number = 0;
 }
 
 static gboolean
-is_lossy (const Watches *watches, gint64 now_ms)
+is_lossy (const LongPolls *watches, gint64 now_ms)
 {
   return now_ms < watches->lossy_until_ms;
 }
 
 guint64
-watches_next (Watches *watches, gboolean silent, gint64 now_ms)
+long_polls_next (LongPolls *watches, gboolean silent, gint64 now_ms)
 {
-  guint wanted = is_lossy (watches, now_ms) && !silent ? WATCHES_MAX : 1;
+  guint wanted = is_lossy (watches, now_ms) && !silent ? LONG_POLLS_MAX : 1;
   guint under_way = 0;
-  Watch *place = NULL;
+  LongPoll *place = NULL;
 
-  for (guint i = 0; i < WATCHES_MAX; i++)
+  for (guint i = 0; i < LONG_POLLS_MAX; i++)
     if (watches->places[i].number != 0)
       under_way++;
     else
@@ -43,44 +43,44 @@
 }
 
 void
-watches_ended (Watches *watches, guint64 number)
+long_polls_ended (LongPolls *watches, guint64 number)
 {
-  for (guint i = 0; i < WATCHES_MAX; i++)
+  for (guint i = 0; i < LONG_POLLS_MAX; i++)
     if (watches->places[i].number == number)
       watches->places[i].number = 0;
 }
 
 void
-watches_lost (Watches *watches, gint64 now_ms)
+long_polls_lost (LongPolls *watches, gint64 now_ms)
 {
   watches->lossy_until_ms = now_ms + LOSSY_MS;
 }
 
 void
-watches_saw_end (Watches *watches, gint64 now_ms)
+long_polls_expect_end (LongPolls *watches, gint64 now_ms)
 {
-  for (guint i = 0; i < WATCHES_MAX; i++)
+  for (guint i = 0; i < LONG_POLLS_MAX; i++)
     if (watches->places[i].number != 0 && watches->places[i].overdue_ms == 0)
       watches->places[i].overdue_ms = now_ms;
 }
 
 void
-watches_check (Watches *watches, gint64 now_ms)
+long_polls_check (LongPolls *watches, gint64 now_ms)
 {
-  for (guint i = 0; i < WATCHES_MAX; i++)
+  for (guint i = 0; i < LONG_POLLS_MAX; i++)
     {
-      Watch *place = &watches->places[i];
+      LongPoll *place = &watches->places[i];
 
       if (place->number == 0 || place->overdue_ms == 0
           || now_ms - place->overdue_ms < OVERDUE_MS)
         continue;
       place->number = 0;
-      watches_lost (watches, now_ms);
+      long_polls_lost (watches, now_ms);
     }
 }
 
 guint
-watches_wait_ms (const Watches *watches, gint64 now_ms)
+long_polls_wait_ms (const LongPolls *watches, gint64 now_ms)
 {
   return is_lossy (watches, now_ms) ? LOSSY_WAIT_MS : WAIT_MS;
 }
--- a/src/runner.c
+++ b/src/runner.c
@@ -341,7 +341,7 @@
     runner_send_settle (runner);
   if (look_is_due (runner))
     runner_send_renewal (runner);
-  watches_check (&runner->watches, now_ms);
+  long_polls_check (&runner->watches, now_ms);
   runner_send_watch (runner);
 }
 
--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -96,7 +96,7 @@
   runner->now_ms = reply->now_ms;
   runner->unanswered = reply->end == CALL_UNANSWERED ? runner->unanswered + 1 : 0;
   if (reply->end == CALL_UNANSWERED)
-    watches_lost (&runner->watches, runner->now_ms);
+    long_polls_lost (&runner->watches, runner->now_ms);
   if (reply->end != CALL_UNANSWERED && cookie->watch == 0)
     runner->call_ms
         += CALL_TIME_RATE * (reply->now_ms - cookie->sent_ms - runner->call_ms);
@@ -330,7 +330,7 @@
   Cookie *cookie = data;
 
   if (cookie->life == runner->life && cookie->watch != 0)
-    watches_ended (&runner->watches, cookie->watch);
+    long_polls_ended (&runner->watches, cookie->watch);
   if (cookie->life == runner->life && cookie->settle)
     runner->settling = FALSE;
   if (!take_reply (runner, reply, cookie))
@@ -344,13 +344,13 @@
     }
   runner->listed_ms = runner->now_ms;
   if (take_ends (runner, reply))
-    watches_saw_end (&runner->watches, runner->now_ms);
+    long_polls_expect_end (&runner->watches, runner->now_ms);
   runner_take_progress (runner, reply);
   if (cookie->settle && runner->state == LIFE_CLEARING && cookie->token == runner->token)
     clear_strangers (runner, reply);
   else if (cookie->settle)
     settle_runs (runner, reply, cookie->token);
-  watches_check (&runner->watches, runner->now_ms);
+  long_polls_check (&runner->watches, runner->now_ms);
   runner_send_watch (runner);
 
 out:
@@ -360,7 +360,7 @@
 static void
 send_watch (Runner *runner, guint64 number)
 {
-  guint wait_ms = watches_wait_ms (&runner->watches, runner->now_ms);
+  guint wait_ms = long_polls_wait_ms (&runner->watches, runner->now_ms);
   Cookie *cookie = cookie_new (runner);
   ServerCall call
       = server_call (runner, wait_ms + WATCH_ANSWER_MS, on_hold_reply, cookie);
@@ -378,8 +378,8 @@
 
   if (runner->state == LIFE_UNKNOWN)
     return;
-  while ((number = watches_next (&runner->watches, runner_server_is_silent (runner),
-                                 runner->now_ms))
+  while ((number = long_polls_next (&runner->watches, runner_server_is_silent (runner),
+                                    runner->now_ms))
          != 0)
     send_watch (runner, number);
 }
--- a/src/runner_life.c
+++ b/src/runner_life.c
@@ -36,7 +36,7 @@
   runner_lose_all (runner, kind, reason);
   remember_instance (runner, g_steal_pointer (&runner->instance));
   runner->life++;
-  watches_forget (&runner->watches);
+  long_polls_reset (&runner->watches);
   runner->settling = FALSE;
   runner_set_state (runner, LIFE_UNKNOWN);
 }
--- a/src/runner_parts.h
+++ b/src/runner_parts.h
@@ -3,8 +3,8 @@
  * follows the lives of the backend server, runner_calls.c calls it and takes its answers
  * in, runner_progress.c judges it by what they tell. */
 #include "lease.h"
+#include "long_polls.h"
 #include "runner.h"
-#include "watches.h"
 
 #include <sys/queue.h>
 
@@ -90,7 +90,7 @@
   double other_slowness; /* while it is cold that of when it is warm, and the reverse */
   gboolean draining;
   gboolean zone_closed;
-  Watches watches;
+  LongPolls watches;
   gboolean settling;
 };
 
--- a/tests/test-properties.cc
+++ b/tests/test-properties.cc
@@ -25,7 +25,7 @@
 
 /* The owner, and what an onlooker knows of it. */
 
-struct Watch
+struct LongPoll
 {
   Owner *owner = nullptr;
   std::map<TaskId, unsigned> starts;
@@ -44,7 +44,7 @@
 void
 on_start (const OwnerTask *task, const char *, const void *, gsize, gpointer ctx)
 {
-  auto *watch = static_cast<Watch *> (ctx);
+  auto *watch = static_cast<LongPoll *> (ctx);
   TaskId id = id_of (task->key);
 
   watch->starts[id]++;
@@ -57,7 +57,7 @@
 void
 on_tell (const OwnerTask *, gpointer ctx)
 {
-  static_cast<Watch *> (ctx)->told++;
+  static_cast<LongPoll *> (ctx)->told++;
 }
 
 /* Names for a failing sequence as it is printed. */
@@ -127,7 +127,7 @@
 constexpr unsigned SLOTS = 3;
 
 void
-finish (Watch &watch, const TaskKey &key, bool sent, gint64 now)
+finish (LongPoll &watch, const TaskKey &key, bool sent, gint64 now)
 {
   if (watch.running.erase (id_of (key)) == 0)
     return;
@@ -139,7 +139,7 @@
 }
 
 void
-fence (Watch &watch, const Move &move, const TaskKey &key, gint64 now)
+fence (LongPoll &watch, const Move &move, const TaskKey &key, gint64 now)
 {
   guint32 index = move.index;
   bool whole = move.step == Step::fence_job;
@@ -157,7 +157,7 @@
 }
 
 void
-carry_out (Watch &watch, const Move &move, gint64 now)
+carry_out (LongPoll &watch, const Move &move, gint64 now)
 {
   TaskKey key = { { 7, move.job }, move.index };
 
@@ -193,7 +193,7 @@
 {
   OwnerOps ops = { on_start, on_tell };
   OwnerLimits limits = { SLOTS, 1 << 20 };
-  Watch watch;
+  LongPoll watch;
   gint64 now = 1000;
 
   watch.owner = owner_new (&limits, &ops, &watch);
