--- a/src/lateness.h
+++ b/src/frame_delay.h
@@ -9,15 +9,15 @@
  */
 #include <glib.h>
 
-#define LATENESS_WINDOWS 2
+#define FRAME_DELAY_WINDOWS 2
 
 typedef struct
 {
-  gint64 least_ms[LATENESS_WINDOWS]; /* own clock less the peer's, in this window and
+  gint64 least_ms[FRAME_DELAY_WINDOWS]; /* own clock less the peer's, in this window and
                                         the one before */
   gint64 window_ms; /* own clock when this window began; 0: nothing was heard */
-  guint late_ms;    /* of the last frame */
-} Lateness;
+  guint delay_ms;   /* of the last frame */
+} FrameDelay;
 
-/** lateness_hear - a frame says that its sender's clock showed @told_ms. */
-void lateness_hear (Lateness *lateness, gint64 told_ms, gint64 now_ms);
+/** frame_delay_observe - a frame says that its sender's clock showed @told_ms. */
+void frame_delay_observe (FrameDelay *lateness, gint64 told_ms, gint64 now_ms);
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -202,7 +202,7 @@
   peer->surplus_ms = 0;
   if (peer->is_entry && tells_entries (mesh) && mesh->init.entry_heartbeat_ms > 0)
     link_set_pace (link, mesh->init.entry_heartbeat_ms, mesh->init.entry_timeout_ms);
-  peer->heard = (Lateness){ 0 };
+  peer->heard = (FrameDelay){ 0 };
   peer->told_late_ms = 0;
   if (peer->is_entry)
     mesh->linked_ms = now;
@@ -224,7 +224,7 @@
   if (frame->time != NULL)
     {
       peer_clock_hear (&peer->clock, frame->time->now_ms, clock_now_ms ());
-      lateness_hear (&peer->heard, frame->time->now_ms, clock_now_ms ());
+      frame_delay_observe (&peer->heard, frame->time->now_ms, clock_now_ms ());
       peer->told_late_ms = frame->time->late_ms;
     }
   peer->leaving = frame->leaving;
@@ -279,7 +279,7 @@
   frame->time = &mesh->time;
   if (peer == NULL)
     return;
-  mesh->time.late_ms = peer->heard.late_ms;
+  mesh->time.late_ms = peer->heard.delay_ms;
   if (peer_clock_known (&peer->clock))
     {
       mesh->time.granted_until_ms
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -2,7 +2,7 @@
 /* The links among entries and agents of leased jobs, found without any list: from a few
  * seed addresses, from what linked entries tell, and from a directory when both fail. */
 #include "closures.h"
-#include "lateness.h"
+#include "frame_delay.h"
 #include "lease.h"
 #include "link.h"
 
@@ -21,7 +21,7 @@
   gboolean is_entry;
   Link *link; /* NULL while it is not linked */
   PeerClock clock;
-  Lateness heard;       /* how late its frames come here */
+  FrameDelay heard;     /* how late its frames come here */
   guint told_late_ms;   /* how late ours come there, as it says */
   gint64 granted_until; /* its clock: the longest lease it was given */
   gint64 lost_ms;       /* since when it is not linked */
--- a/tests/test-pace.c
+++ b/tests/test-pace.c
@@ -1,6 +1,6 @@
 /* How late a peer is heard, and what is slowed by it: decided on figures alone. */
 #include "cases.h"
-#include "lateness.h"
+#include "frame_delay.h"
 #include "pace.h"
 
 #define FRAMES 8
@@ -28,12 +28,12 @@
 test_lateness (gconstpointer data)
 {
   const LatenessCase *c = data;
-  Lateness lateness = { 0 };
+  FrameDelay lateness = { 0 };
 
   for (guint i = 0; i < FRAMES; i++)
-    lateness_hear (&lateness, TOLD_AT_MS + (gint64)100 * i,
-                   HEARD_AT_MS + (gint64)100 * i + c->way_ms[i]);
-  g_assert_cmpuint (lateness.late_ms, ==, c->late_ms);
+    frame_delay_observe (&lateness, TOLD_AT_MS + (gint64)100 * i,
+                         HEARD_AT_MS + (gint64)100 * i + c->way_ms[i]);
+  g_assert_cmpuint (lateness.delay_ms, ==, c->late_ms);
 }
 
 /* Symptom: a server gets no work for good after its machine was frozen.
@@ -44,16 +44,16 @@
 test_lateness_after_freeze (void)
 {
   const gint64 frozen_ms = 400;
-  Lateness lateness = { 0 };
+  FrameDelay lateness = { 0 };
   gint64 at = 0;
 
   for (; at < 2000; at += 100)
-    lateness_hear (&lateness, TOLD_AT_MS + at, HEARD_AT_MS + at);
-  lateness_hear (&lateness, TOLD_AT_MS + at, HEARD_AT_MS + at + frozen_ms);
-  g_assert_cmpuint (lateness.late_ms, ==, frozen_ms);
+    frame_delay_observe (&lateness, TOLD_AT_MS + at, HEARD_AT_MS + at);
+  frame_delay_observe (&lateness, TOLD_AT_MS + at, HEARD_AT_MS + at + frozen_ms);
+  g_assert_cmpuint (lateness.delay_ms, ==, frozen_ms);
   for (; at < 8000; at += 100)
-    lateness_hear (&lateness, TOLD_AT_MS + at, HEARD_AT_MS + at + frozen_ms);
-  g_assert_cmpuint (lateness.late_ms, ==, 0);
+    frame_delay_observe (&lateness, TOLD_AT_MS + at, HEARD_AT_MS + at + frozen_ms);
+  g_assert_cmpuint (lateness.delay_ms, ==, 0);
 }
 
 #define LEAST_MS 15u
