--- a/src/dispatcher_parts.h
+++ b/src/dispatcher_parts.h
@@ -4,8 +4,8 @@
  * dispatcher_place.c places, dispatcher_wishes.c asks for room. */
 #include "arrivals.h"
 #include "dispatcher.h"
-#include "pace.h"
 #include "runtimes.h"
+#include "throttle.h"
 
 #include <sys/queue.h>
 
@@ -68,7 +68,7 @@
   gint64 granted_until; /* agent's clock */
   gint64 hold_until_ms; /* nothing is placed before this time */
   guint late_ms;        /* so late orders come there */
-  Pace wish_pace;       /* of asking for room */
+  Throttle wish_pace;   /* of asking for room */
   gint64 wanted_ms;     /* when room was last asked for */
   double wanted_rank;   /* of the job that it was asked for */
   Demand placed;
--- a/src/dispatcher_place.c
+++ b/src/dispatcher_place.c
@@ -353,7 +353,7 @@
       if (!server_is_open (server))
         continue;
       g_array_append_val (all, slowness);
-      if (pace_is_slowed (&server->wish_pace))
+      if (throttle_is_active (&server->wish_pace))
         slowed++;
       if (server->status.trust != TRUST_FULL)
         distrusted++;
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -60,7 +60,7 @@
   server->owner = owner;
   server->inventoried = FALSE;
   server->late_ms = 0;
-  server->wish_pace = pace_new (WISH_LEAST_MS);
+  server->wish_pace = throttle_new (WISH_LEAST_MS);
   return server;
 }
 
@@ -90,7 +90,7 @@
 dispatcher_server_late (LeasedServer *server, guint late_ms, gint64 now_ms)
 {
   server->late_ms = late_ms;
-  pace_hear (&server->wish_pace, late_ms, now_ms);
+  throttle_on_delay (&server->wish_pace, late_ms, now_ms);
 }
 
 void
--- a/src/dispatcher_wishes.c
+++ b/src/dispatcher_wishes.c
@@ -98,7 +98,7 @@
   if (server_is_offered_for_better (server, rank)
       || server->wanted_rank >= RANK_NO_CHANCE)
     return TRUE;
-  if (age_ms < pace_interval_ms (&server->wish_pace))
+  if (age_ms < throttle_interval_ms (&server->wish_pace))
     return FALSE;
   return age_ms >= want_again_ms (server->dispatcher)
          || rank < server->wanted_rank * WANT_BETTER;
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -1,6 +1,6 @@
 #include "clock.h"
 #include "leased_agent_parts.h"
-#include "pace.h"
+#include "throttle.h"
 
 #include <string.h>
 
@@ -28,7 +28,7 @@
 {
   State state;
   gint64 told_ms;
-  Pace pace;
+  Throttle pace;
 } ToldState;
 
 /* Told in steps: each step is news to all entries. */
@@ -111,7 +111,7 @@
 {
   if (told == NULL || state->offered)
     return 0;
-  return told->told_ms + pace_interval_ms (&told->pace) - now_ms;
+  return told->told_ms + throttle_interval_ms (&told->pace) - now_ms;
 }
 
 void
@@ -120,7 +120,7 @@
   ToldState *told = peer->data;
 
   if (told != NULL)
-    pace_hear (&told->pace, peer->told_late_ms, now_ms);
+    throttle_on_delay (&told->pace, peer->told_late_ms, now_ms);
 }
 
 void
@@ -177,7 +177,7 @@
   if (told == NULL)
     {
       peer->data = told = g_new0 (ToldState, 1);
-      told->pace = pace_new (STATE_LEAST_MS);
+      told->pace = throttle_new (STATE_LEAST_MS);
     }
   told->state = now;
   told->told_ms = clock_now_ms ();
--- a/src/pace.c
+++ b/src/throttle.c
@@ -1,4 +1,4 @@
-#include "pace.h"
+#include "throttle.h"
 
 #define MOST_MS 240
 /* More than a turn of either loop and the way between two zones. */
@@ -6,28 +6,28 @@
 /* What was changed shows in what is heard after about this. */
 #define CHANGE_MS 120
 
-Pace
-pace_new (guint least_ms)
+Throttle
+throttle_new (guint least_ms)
 {
-  Pace pace = { .least_ms = least_ms, .interval_ms = least_ms };
+  Throttle pace = { .least_ms = least_ms, .interval_ms = least_ms };
 
   return pace;
 }
 
 guint
-pace_interval_ms (const Pace *pace)
+throttle_interval_ms (const Throttle *pace)
 {
   return pace->interval_ms;
 }
 
 gboolean
-pace_is_slowed (const Pace *pace)
+throttle_is_active (const Throttle *pace)
 {
   return pace->interval_ms > pace->least_ms;
 }
 
 void
-pace_hear (Pace *pace, guint late_ms, gint64 now_ms)
+throttle_on_delay (Throttle *pace, guint late_ms, gint64 now_ms)
 {
   if (now_ms - pace->changed_ms < CHANGE_MS)
     return;
--- a/tests/load_agents.c
+++ b/tests/load_agents.c
@@ -30,7 +30,7 @@
     {
       const Known *known = known_server (replay, &replay->entries[i], server);
       gint64 wait_ms
-          = server->told_ms[i] + pace_interval_ms (&known->state_pace) - replay->now;
+          = server->told_ms[i] + throttle_interval_ms (&known->state_pace) - replay->now;
 
       if (offers_is_reserved_for (server->offers, i + 1))
         wait_ms = 0;
--- a/tests/load_links.c
+++ b/tests/load_links.c
@@ -49,7 +49,7 @@
   if (!is_limited (replay))
     return;
   known->late_there_ms = lateness (replay, event);
-  pace_hear (&known->state_pace, known->late_here_ms, replay->now);
+  throttle_on_delay (&known->state_pace, known->late_here_ms, replay->now);
 }
 
 void
@@ -85,7 +85,7 @@
 {
   Known *known = known_server (replay, entry, server);
 
-  known->state_pace = pace_new (STATE_MS);
+  known->state_pace = throttle_new (STATE_MS);
   if (is_limited (replay))
     event_at (replay,
               replay->now + (entry->index * 7 + server->index * 11) % HEARTBEAT_MS,
--- a/tests/load_replay_parts.h
+++ b/tests/load_replay_parts.h
@@ -3,7 +3,7 @@
  * load_agents.c the agents beside the servers. */
 #include "load_replay.h"
 #include "offers.h"
-#include "pace.h"
+#include "throttle.h"
 
 /* One way between an entry and an agent, with a turn of either's loop. */
 #define WAY_MS 2
@@ -60,7 +60,7 @@
 {
   Server *server;
   LeasedServer *known;
-  Pace state_pace;
+  Throttle state_pace;
   guint late_there_ms; /* the entry's last frame came to the agent */
   guint late_here_ms;  /* the agent's to the entry */
 } Known;
--- a/tests/test-pace.c
+++ b/tests/test-pace.c
@@ -1,7 +1,7 @@
 /* How late a peer is heard, and what is slowed by it: decided on figures alone. */
 #include "cases.h"
 #include "frame_delay.h"
-#include "pace.h"
+#include "throttle.h"
 
 #define FRAMES 8
 #define TOLD_AT_MS 5000
@@ -79,16 +79,16 @@
 test_pace (gconstpointer data)
 {
   const PaceCase *c = data;
-  Pace pace = pace_new (LEAST_MS);
+  Throttle pace = throttle_new (LEAST_MS);
   gint64 now = 1000;
 
   for (guint i = 0; i < c->heard; i++, now += 120)
-    pace_hear (&pace, c->late_ms, now);
+    throttle_on_delay (&pace, c->late_ms, now);
   for (guint i = 0; i < c->then_prompt; i++, now += 120)
-    pace_hear (&pace, 0, now);
-  g_assert_cmpuint (pace_interval_ms (&pace), >=, c->least_ms);
-  g_assert_cmpuint (pace_interval_ms (&pace), <=, c->most_ms);
-  g_assert_cmpint (pace_is_slowed (&pace), ==, c->least_ms > LEAST_MS);
+    throttle_on_delay (&pace, 0, now);
+  g_assert_cmpuint (throttle_interval_ms (&pace), >=, c->least_ms);
+  g_assert_cmpuint (throttle_interval_ms (&pace), <=, c->most_ms);
+  g_assert_cmpint (throttle_is_active (&pace), ==, c->least_ms > LEAST_MS);
 }
 
 /* Many frames at once say the same thing once. */
@@ -96,11 +96,11 @@
 test_pace_many_frames (void)
 {
   const guint doubled = 2 * LEAST_MS;
-  Pace pace = pace_new (LEAST_MS);
+  Throttle pace = throttle_new (LEAST_MS);
 
   for (guint i = 0; i < 100; i++)
-    pace_hear (&pace, 100, 1000);
-  g_assert_cmpuint (pace_interval_ms (&pace), ==, doubled);
+    throttle_on_delay (&pace, 100, 1000);
+  g_assert_cmpuint (throttle_interval_ms (&pace), ==, doubled);
 }
 
 int
