--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -143,7 +143,7 @@
     return' test-runner /runner/closed-zone-takes-nothing
 mutant agent-never-asks src/leased_agent.c 'agent->ops->look_up_zones (agent->ctx);' '' \
   test-zones /zones/closed/the-only-entry-is-cut-off
-mutant opening-is-lost src/closures.c 'case ZONE_OPEN:
+mutant opening-is-lost src/closed_zones.c 'case ZONE_OPEN:
       if (i >= 0)' 'case ZONE_OPEN:
       if (FALSE)' test-closures /closures/words/closed-then-opened
 mutant settled-without-end src/runner_calls.c '
--- a/src/closures.c
+++ b/src/closed_zones.c
@@ -1,11 +1,11 @@
 #define LOG_MODULE "closures"
-#include "closures.h"
+#include "closed_zones.h"
 #include "counters.h"
 #include "events.h"
 
 #include <string.h>
 
-struct Closures
+struct ClosedZones
 {
   GPtrArray *zones;    /* of ClosedZone, by name */
   guint64 version;     /* of the table, as of which they are all */
@@ -26,17 +26,17 @@
   g_free (zone);
 }
 
-Closures *
-closures_new (void)
+ClosedZones *
+closed_zones_new (void)
 {
-  Closures *closures = g_new0 (Closures, 1);
+  ClosedZones *closures = g_new0 (ClosedZones, 1);
 
   closures->zones = g_ptr_array_new_with_free_func (zone_free);
   return closures;
 }
 
 void
-closures_free (Closures *closures)
+closed_zones_free (ClosedZones *closures)
 {
   if (closures == NULL)
     return;
@@ -48,16 +48,16 @@
 
 /* Return: its index, or -1. */
 static int
-find_zone (const Closures *closures, const char *name)
+find_zone (const ClosedZones *closures, const char *name)
 {
   for (guint i = 0; i < closures->zones->len; i++)
-    if (strcmp (closures_zone (closures, i)->name, name) == 0)
+    if (strcmp (closed_zones_get (closures, i)->name, name) == 0)
       return (int)i;
   return -1;
 }
 
 static void
-note_change (Closures *closures, const char *zone, gboolean closed, guint64 version)
+note_change (ClosedZones *closures, const char *zone, gboolean closed, guint64 version)
 {
   closures->changes++;
   counter_add (closed ? COUNTER_ZONES_CLOSED : COUNTER_ZONES_OPENED, 1);
@@ -66,7 +66,7 @@
 }
 
 static gboolean
-close_zone (Closures *closures, const char *name, guint64 version)
+close_zone (ClosedZones *closures, const char *name, guint64 version)
 {
   ClosedZone *zone;
   int i = find_zone (closures, name);
@@ -86,9 +86,9 @@
 }
 
 static void
-open_zone (Closures *closures, guint i, guint64 version)
+open_zone (ClosedZones *closures, guint i, guint64 version)
 {
-  note_change (closures, closures_zone (closures, i)->name, FALSE, version);
+  note_change (closures, closed_zones_get (closures, i)->name, FALSE, version);
   g_ptr_array_remove_index (closures->zones, i);
 }
 
@@ -102,7 +102,7 @@
 }
 
 static gboolean
-open_others (Closures *closures,
+open_others (ClosedZones *closures,
              const ZoneChange *changes,
              gsize n_changes,
              guint64 version)
@@ -110,7 +110,7 @@
   gboolean changed = FALSE;
 
   for (guint i = closures->zones->len; i > 0; i--)
-    if (!is_among (changes, n_changes, closures_zone (closures, i - 1)->name))
+    if (!is_among (changes, n_changes, closed_zones_get (closures, i - 1)->name))
       {
         open_zone (closures, i - 1, version);
         changed = TRUE;
@@ -119,7 +119,7 @@
 }
 
 static gboolean
-apply_one (Closures *closures, const ZoneChange *change)
+apply_one (ClosedZones *closures, const ZoneChange *change)
 {
   int i = find_zone (closures, change->zone);
 
@@ -138,13 +138,13 @@
 }
 
 static void
-confirm (Closures *closures, gint64 when_ms)
+confirm (ClosedZones *closures, gint64 when_ms)
 {
   closures->confirmed_ms = MAX (closures->confirmed_ms, when_ms);
 }
 
 static gboolean
-take (Closures *closures,
+take (ClosedZones *closures,
       const ZoneChange *changes,
       gsize n_changes,
       gboolean whole,
@@ -169,12 +169,12 @@
 }
 
 gboolean
-closures_apply (Closures *closures,
-                const ZoneChange *changes,
-                gsize n_changes,
-                gboolean whole,
-                guint64 version,
-                gint64 now_ms)
+closed_zones_apply (ClosedZones *closures,
+                    const ZoneChange *changes,
+                    gsize n_changes,
+                    gboolean whole,
+                    guint64 version,
+                    gint64 now_ms)
 {
   gboolean changed = take (closures, changes, n_changes, whole, version);
 
@@ -184,25 +184,25 @@
 }
 
 gboolean
-closures_has (const Closures *closures, const char *zone)
+closed_zones_has (const ClosedZones *closures, const char *zone)
 {
   return find_zone (closures, zone) >= 0;
 }
 
 guint
-closures_count (const Closures *closures)
+closed_zones_count (const ClosedZones *closures)
 {
   return closures->zones->len;
 }
 
 const ClosedZone *
-closures_zone (const Closures *closures, guint i)
+closed_zones_get (const ClosedZones *closures, guint i)
 {
   return g_ptr_array_index (closures->zones, i);
 }
 
 guint
-closures_age_ms (const Closures *closures, gint64 now_ms)
+closed_zones_age_ms (const ClosedZones *closures, gint64 now_ms)
 {
   if (closures->confirmed_ms == 0)
     return G_MAXUINT;
@@ -210,26 +210,26 @@
 }
 
 guint64
-closures_changes (const Closures *closures)
+closed_zones_revision (const ClosedZones *closures)
 {
   return closures->changes;
 }
 
 static void
-fill_message (Closures *closures, gint64 now_ms)
+fill_message (ClosedZones *closures, gint64 now_ms)
 {
   guint n = closures->zones->len;
 
   gw__closures__init (&closures->message);
   closures->message.version = closures->version;
-  closures->message.age_ms = closures_age_ms (closures, now_ms);
+  closures->message.age_ms = closed_zones_age_ms (closures, now_ms);
   closures->zone_messages = g_renew (Gw__ClosedZone, closures->zone_messages, n);
   closures->zone_list = g_renew (Gw__ClosedZone *, closures->zone_list, n);
   for (guint i = 0; i < n; i++)
     {
       gw__closed_zone__init (&closures->zone_messages[i]);
-      closures->zone_messages[i].name = closures_zone (closures, i)->name;
-      closures->zone_messages[i].version = closures_zone (closures, i)->version;
+      closures->zone_messages[i].name = closed_zones_get (closures, i)->name;
+      closures->zone_messages[i].version = closed_zones_get (closures, i)->version;
       closures->zone_list[i] = &closures->zone_messages[i];
     }
   closures->message.n_zones = n;
@@ -237,8 +237,8 @@
 }
 
 static gboolean
-is_news (const Closures *closures,
-         const ClosuresTold *told,
+is_news (const ClosedZones *closures,
+         const ClosedZonesSent *told,
          guint confirm_ms,
          gint64 now_ms)
 {
@@ -249,11 +249,11 @@
 }
 
 void
-closures_tell (Closures *closures,
-               ClosuresTold *told,
-               guint confirm_ms,
-               Gw__Frame *frame,
-               gint64 now_ms)
+closed_zones_to_frame (ClosedZones *closures,
+                       ClosedZonesSent *told,
+                       guint confirm_ms,
+                       Gw__Frame *frame,
+                       gint64 now_ms)
 {
   if (closures->changes == 0 || !is_news (closures, told, confirm_ms, now_ms))
     return;
@@ -264,7 +264,7 @@
 }
 
 gboolean
-closures_hear (Closures *closures, const Gw__Frame *frame, gint64 now_ms)
+closed_zones_from_frame (ClosedZones *closures, const Gw__Frame *frame, gint64 now_ms)
 {
   const Gw__Closures *message = frame->closures;
   GArray *zones;
--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -2,7 +2,7 @@
 /* The dispatcher of an entry's leased jobs: queues them, places their tasks on backend
  * servers, runs lost tasks again and tells how each job ended. No I/O of its own:
  * messages and the time are handed in. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "lease.h"
 #include "resource_request.h"
 #include "server_calls.h"
@@ -91,7 +91,7 @@
 typedef struct
 {
   guint server_lease_ms; /* a backend server lets runs go on so long without its agent */
-  const Closures *closures; /* the owner's, read only; NULL: no zone is ever closed */
+  const ClosedZones *closures; /* the owner's, read only; NULL: no zone is ever closed */
 } DispatcherInit;
 
 Dispatcher *
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -399,11 +399,12 @@
 static void
 note_closed (LeasedServer *server)
 {
-  const Closures *closures = server->dispatcher->init.closures;
+  const ClosedZones *closures = server->dispatcher->init.closures;
   const char *zone = server->status.zone;
 
-  server->closed = server->status.closed
-                   || (closures != NULL && zone != NULL && closures_has (closures, zone));
+  server->closed
+      = server->status.closed
+        || (closures != NULL && zone != NULL && closed_zones_has (closures, zone));
 }
 
 void
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -141,7 +141,8 @@
 static void
 apply_zones (LeasedAgent *agent)
 {
-  gboolean closed = agent->zone != NULL && closures_has (agent->closures, agent->zone);
+  gboolean closed
+      = agent->zone != NULL && closed_zones_has (agent->closures, agent->zone);
 
   runner_close_zone (agent->runner, closed);
 }
@@ -156,7 +157,7 @@
 static void
 check_zones (LeasedAgent *agent, gint64 now)
 {
-  if (closures_age_ms (agent->closures, now) < ZONES_STALE_MS
+  if (closed_zones_age_ms (agent->closures, now) < ZONES_STALE_MS
       || now - agent->zones_asked_ms < ZONES_ASK_MS)
     return;
   agent->zones_asked_ms = now;
@@ -209,7 +210,7 @@
   gint64 now = clock_now_ms ();
 
   leased_agent_hear_pace (peer, now);
-  if (closures_hear (agent->closures, frame, now))
+  if (closed_zones_from_frame (agent->closures, frame, now))
     zones_changed (agent);
   if (frame->time != NULL && frame->time->granted_until_ms > 0)
     runner_grant (agent->runner, peer->incarnation, frame->time->granted_until_ms);
@@ -317,7 +318,7 @@
   agent->changed = event_new (base, -1, 0, leased_agent_tell_state, agent);
   agent->offer_ends = evtimer_new (base, leased_agent_end_offer, agent);
   agent->offers = offers_new ();
-  agent->closures = closures_new ();
+  agent->closures = closed_zones_new ();
   agent->figures = figures_new (base);
   return agent;
 }
@@ -340,7 +341,7 @@
   event_free (agent->changed);
   event_free (agent->offer_ends);
   offers_free (agent->offers);
-  closures_free (agent->closures);
+  closed_zones_free (agent->closures);
   g_free (agent->hello.name);
   g_free (agent->hello.zone);
   g_free (agent->service);
@@ -409,12 +410,12 @@
                     gboolean whole,
                     guint64 version)
 {
-  if (closures_apply (agent->closures, changes, n_changes, whole, version,
-                      clock_now_ms ()))
+  if (closed_zones_apply (agent->closures, changes, n_changes, whole, version,
+                          clock_now_ms ()))
     zones_changed (agent);
 }
 
-const Closures *
+const ClosedZones *
 leased_agent_closures (const LeasedAgent *agent)
 {
   return agent->closures;
--- a/src/leased_agent.h
+++ b/src/leased_agent.h
@@ -1,7 +1,7 @@
 #pragma once
 /* The agent of leased jobs: stands beside one backend server, links to the entries and
  * lets them start tasks through its runner. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "runner.h"
 #include "settings.h"
 
@@ -40,11 +40,11 @@
 void leased_agent_server_leaves (LeasedAgent *agent, const char *instance);
 
 /** leased_agent_zones - what the platform's table says of availability zones, as for
- * closures_apply (). */
+ * closed_zones_apply (). */
 void leased_agent_zones (LeasedAgent *agent,
                          const ZoneChange *changes,
                          gsize n_changes,
                          gboolean whole,
                          guint64 version);
-const Closures *leased_agent_closures (const LeasedAgent *agent);
+const ClosedZones *leased_agent_closures (const LeasedAgent *agent);
 void leased_agent_learn (LeasedAgent *agent, const char *address);
--- a/src/leased_agent_parts.h
+++ b/src/leased_agent_parts.h
@@ -1,7 +1,7 @@
 #pragma once
 /* What the parts of the agent share. leased_agent.c is its life and its traffic,
  * leased_agent_state.c tells the entries the state of the backend server. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "figures.h"
 #include "leased_agent.h"
 #include "mesh.h"
@@ -21,7 +21,7 @@
   struct event *changed;
   struct event *offer_ends;
   Offers *offers;
-  Closures *closures;
+  ClosedZones *closures;
   gint64 zones_asked_ms; /* when the platform was last asked for them */
   Figures *figures;
   gint64 mesh_ticked_ms;
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -206,6 +206,6 @@
 {
   LeasedAgent *agent = ctx;
 
-  closures_tell (agent->closures, &peer->closures, 0, frame, clock_now_ms ());
+  closed_zones_to_frame (agent->closures, &peer->closures, 0, frame, clock_now_ms ());
   put_state (agent, peer, frame);
 }
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -320,7 +320,7 @@
   fill_hello (entry, settings);
   entry->mesh = mesh_new (&mesh, &mesh_ops, entry);
   mesh_seed (entry->mesh, settings->peers);
-  entry->closures = closures_new ();
+  entry->closures = closed_zones_new ();
   dispatcher.closures = entry->closures;
   entry->dispatcher = dispatcher_new (&dispatcher, &dispatcher_ops, entry);
   entry->tick = event_new (base, -1, EV_PERSIST, on_tick, entry);
@@ -338,7 +338,7 @@
   listen_free (entry->frames);
   dispatcher_free (entry->dispatcher);
   mesh_free (entry->mesh);
-  closures_free (entry->closures);
+  closed_zones_free (entry->closures);
   catalog_unref (entry->catalog);
   event_free (entry->tick);
   event_free (entry->pump);
--- a/src/leased_entry.h
+++ b/src/leased_entry.h
@@ -3,7 +3,7 @@
  * agents divide the room among the entries. Entries tell each other configurations and
  * addresses, nothing else: the loss of one costs only its own callers. */
 #include "catalog.h"
-#include "closures.h"
+#include "closed_zones.h"
 #include "dispatcher.h"
 #include "settings.h"
 
@@ -56,13 +56,13 @@
 Catalog *leased_entry_catalog (const LeasedEntry *entry);
 
 /** leased_entry_zones - what the platform's table says of availability zones, as for
- * closures_apply (). */
+ * closed_zones_apply (). */
 void leased_entry_zones (LeasedEntry *entry,
                          const ZoneChange *changes,
                          gsize n_changes,
                          gboolean whole,
                          guint64 version);
-const Closures *leased_entry_closures (const LeasedEntry *entry);
+const ClosedZones *leased_entry_closures (const LeasedEntry *entry);
 
 void leased_entry_learn (LeasedEntry *entry, const char *address);
 Dispatcher *leased_entry_dispatcher (LeasedEntry *entry);
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -2,7 +2,7 @@
 /* What the parts of an entry of leased jobs share: leased_entry.c is its life and its
  * talk with agents, leased_entry_config.c what entries tell each other about the
  * configuration, leased_entry_zones.c the closed availability zones. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "figures.h"
 #include "leased_entry.h"
 #include "listen.h"
@@ -25,7 +25,7 @@
   Dispatcher *dispatcher;
   Catalog *catalog;
   Spread spread;
-  Closures *closures;
+  ClosedZones *closures;
   struct event *tick;
   struct event *pump;
   Figures *figures;
--- a/src/leased_entry_zones.c
+++ b/src/leased_entry_zones.c
@@ -16,15 +16,15 @@
 void
 leased_entry_zones_frame (LeasedEntry *entry, const Gw__Frame *frame)
 {
-  if (closures_hear (entry->closures, frame, clock_now_ms ()))
+  if (closed_zones_from_frame (entry->closures, frame, clock_now_ms ()))
     zones_changed (entry);
 }
 
 void
 leased_entry_zones_prepare (LeasedEntry *entry, MeshPeer *peer, Gw__Frame *frame)
 {
-  closures_tell (entry->closures, &peer->closures, peer->is_entry ? 0 : CONFIRM_MS, frame,
-                 clock_now_ms ());
+  closed_zones_to_frame (entry->closures, &peer->closures,
+                         peer->is_entry ? 0 : CONFIRM_MS, frame, clock_now_ms ());
 }
 
 void
@@ -34,12 +34,12 @@
                     gboolean whole,
                     guint64 version)
 {
-  if (closures_apply (entry->closures, changes, n_changes, whole, version,
-                      clock_now_ms ()))
+  if (closed_zones_apply (entry->closures, changes, n_changes, whole, version,
+                          clock_now_ms ()))
     zones_changed (entry);
 }
 
-const Closures *
+const ClosedZones *
 leased_entry_closures (const LeasedEntry *entry)
 {
   return entry->closures;
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -1,7 +1,7 @@
 #pragma once
 /* The links among entries and agents of leased jobs, found without any list: from a few
  * seed addresses, from what linked entries tell, and from a directory when both fail. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "frame_delay.h"
 #include "lease.h"
 #include "link.h"
@@ -33,8 +33,8 @@
   guint64 config_sent;    /* last sent to it */
   guint64 config_wanted;  /* to be asked for with the next frame; 0: nothing */
   gint64 config_asked_ms; /* when it was last asked for one; 0: never */
-  ClosuresTold closures;  /* what it has been told of closed zones */
-  gpointer data;          /* the owner's record */
+  ClosedZonesSent closures; /* what it has been told of closed zones */
+  gpointer data;            /* the owner's record */
 } MeshPeer;
 
 typedef struct
--- a/tests/test-closures.c
+++ b/tests/test-closures.c
@@ -1,7 +1,7 @@
 /* What a process believes of closed availability zones: which word counts, and what it
  * tells others. */
 #include "cases.h"
-#include "closures.h"
+#include "closed_zones.h"
 
 #include <string.h>
 
@@ -68,20 +68,20 @@
 }
 
 static void
-apply (Closures *closures, const Word *word, gint64 now_ms)
+apply (ClosedZones *closures, const Word *word, gint64 now_ms)
 {
-  closures_apply (closures, word->changes, count_changes (word), word->whole,
-                  word->version, now_ms);
+  closed_zones_apply (closures, word->changes, count_changes (word), word->whole,
+                      word->version, now_ms);
 }
 
 static void
-assert_closed (const Closures *closures, const char *expected)
+assert_closed (const ClosedZones *closures, const char *expected)
 {
   char **zones = g_strsplit (expected, ",", -1);
 
-  g_assert_cmpuint (closures_count (closures), ==, g_strv_length (zones));
+  g_assert_cmpuint (closed_zones_count (closures), ==, g_strv_length (zones));
   for (char **zone = zones; *zone != NULL; zone++)
-    g_assert_true (closures_has (closures, *zone));
+    g_assert_true (closed_zones_has (closures, *zone));
   g_strfreev (zones);
 }
 
@@ -89,12 +89,12 @@
 test_words (gconstpointer data)
 {
   const Case *words = data;
-  Closures *closures = closures_new ();
+  ClosedZones *closures = closed_zones_new ();
 
   for (guint i = 0; i < STEPS_MOST && words->words[i].version > 0; i++)
     apply (closures, &words->words[i], 100 * ((gint64)i + 1));
   assert_closed (closures, words->closed);
-  closures_free (closures);
+  closed_zones_free (closures);
 }
 
 /* The same words reach a second process over frames alone. */
@@ -102,21 +102,21 @@
 test_told (gconstpointer data)
 {
   const Case *words = data;
-  Closures *closures = closures_new ();
-  Closures *other = closures_new ();
-  ClosuresTold told = { 0 };
+  ClosedZones *closures = closed_zones_new ();
+  ClosedZones *other = closed_zones_new ();
+  ClosedZonesSent told = { 0 };
 
   for (guint i = 0; i < STEPS_MOST && words->words[i].version > 0; i++)
     {
       Gw__Frame frame = GW__FRAME__INIT;
 
       apply (closures, &words->words[i], 100 * ((gint64)i + 1));
-      closures_tell (closures, &told, 0, &frame, 100 * ((gint64)i + 1));
-      closures_hear (other, &frame, 100 * ((gint64)i + 1));
+      closed_zones_to_frame (closures, &told, 0, &frame, 100 * ((gint64)i + 1));
+      closed_zones_from_frame (other, &frame, 100 * ((gint64)i + 1));
     }
   assert_closed (other, words->closed);
-  closures_free (other);
-  closures_free (closures);
+  closed_zones_free (other);
+  closed_zones_free (closures);
 }
 
 /* An agent must notice that no entry has read the table for a while. */
@@ -124,27 +124,27 @@
 test_age (void)
 {
   static const Word first = { TRUE, 5, { { NULL } } };
-  Closures *entry = closures_new ();
-  Closures *agent = closures_new ();
-  ClosuresTold told = { 0 };
+  ClosedZones *entry = closed_zones_new ();
+  ClosedZones *agent = closed_zones_new ();
+  ClosedZonesSent told = { 0 };
   Gw__Frame frame = GW__FRAME__INIT;
   Gw__Frame again = GW__FRAME__INIT;
 
-  g_assert_cmpuint (closures_age_ms (agent, 1000), ==, G_MAXUINT);
+  g_assert_cmpuint (closed_zones_age_ms (agent, 1000), ==, G_MAXUINT);
   apply (entry, &first, 1000);
-  closures_tell (entry, &told, CONFIRM_MS, &frame, 1100);
-  closures_hear (agent, &frame, 1200);
-  g_assert_cmpuint (closures_age_ms (agent, 1200), ==, 100);
+  closed_zones_to_frame (entry, &told, CONFIRM_MS, &frame, 1100);
+  closed_zones_from_frame (agent, &frame, 1200);
+  g_assert_cmpuint (closed_zones_age_ms (agent, 1200), ==, 100);
   /* The entry has not read it again: it has nothing to confirm. */
-  closures_tell (entry, &told, CONFIRM_MS, &again, 1600);
+  closed_zones_to_frame (entry, &told, CONFIRM_MS, &again, 1600);
   g_assert_null (again.closures);
   apply (entry, &first, 1700);
-  closures_tell (entry, &told, CONFIRM_MS, &again, 1800);
+  closed_zones_to_frame (entry, &told, CONFIRM_MS, &again, 1800);
   g_assert_nonnull (again.closures);
-  closures_hear (agent, &again, 1800);
-  g_assert_cmpuint (closures_age_ms (agent, 1800), ==, 100);
-  closures_free (agent);
-  closures_free (entry);
+  closed_zones_from_frame (agent, &again, 1800);
+  g_assert_cmpuint (closed_zones_age_ms (agent, 1800), ==, 100);
+  closed_zones_free (agent);
+  closed_zones_free (entry);
 }
 
 int
