--- a/src/admission.c
+++ b/src/admission.c
@@ -81,7 +81,7 @@
 
       job->refused
           = job->refusable
-            && !can_end_by (load, &sums, i, job, job->rank_kept, job->objective_ms)
+            && !can_end_by (load, &sums, i, job, job->rank_on_time, job->objective_ms)
             && !can_end_by (load, &sums, i, job, job->rank_late, job->late_ms);
       sums.refused[i + 1] = sums.refused[i] + (job->refused ? job->work : 0);
     }
--- a/src/admission.h
+++ b/src/admission.h
@@ -19,10 +19,10 @@
 /* A waiting job, in the order of their ranks. */
 typedef struct
 {
-  double rank;      /* now */
-  double rank_kept; /* its rank while it can make its objective */
-  double rank_late; /* once it cannot */
-  double work;      /* that waits */
+  double rank;         /* now */
+  double rank_on_time; /* its rank while it can make its objective */
+  double rank_late;    /* once it cannot */
+  double work;         /* that waits */
   double task_ms;
   gint64 objective_ms;
   gint64 late_ms;
--- a/src/arrivals.c
+++ b/src/arrivals.c
@@ -18,7 +18,7 @@
 {
   double doublings = log2 (MAX (rank / LOWEST_RANK, 1));
 
-  return (guint)MIN (doublings * STEPS_A_DOUBLING, ARRIVALS_STEPS - 1);
+  return (guint)MIN (doublings * STEPS_A_DOUBLING, ARRIVALS_BUCKETS - 1);
 }
 
 static double
@@ -36,7 +36,7 @@
     arrivals->first_ms = now_ms;
   if (now_ms - arrivals->first_ms < INRUSH_MS)
     return;
-  for (guint i = 0; i < ARRIVALS_STEPS; i++)
+  for (guint i = 0; i < ARRIVALS_BUCKETS; i++)
     arrivals->work[i] *= left;
   arrivals->decayed_ms = now_ms;
   arrivals->work[step_of (rank)] += work;
--- a/src/arrivals.h
+++ b/src/arrivals.h
@@ -5,11 +5,11 @@
 #include <glib.h>
 
 /* Ranks are told apart in steps of a quarter of a power of two. */
-#define ARRIVALS_STEPS 80
+#define ARRIVALS_BUCKETS 80
 
 typedef struct
 {
-  double work[ARRIVALS_STEPS]; /* by rank, fading */
+  double work[ARRIVALS_BUCKETS]; /* by rank, fading */
   gint64 decayed_ms;
   gint64 first_ms; /* 0: nothing has arrived */
 } Arrivals;
--- a/src/dispatcher_order.c
+++ b/src/dispatcher_order.c
@@ -265,7 +265,7 @@
 admission_job (const LeasedJob *job)
 {
   AdmissionJob asks = { .rank = job->rank,
-                        .rank_kept = rank_in_time (job),
+                        .rank_on_time = rank_in_time (job),
                         .rank_late = rank_in_time (job) / LATE_PART,
                         .work = waiting_work (job),
                         .task_ms = job->task_ms,
--- a/tests/test-admission.c
+++ b/tests/test-admission.c
@@ -55,11 +55,11 @@
   AdmissionLoad load = { RATE, CAPACITY, &arrivals, NOW_MS };
   AdmissionJob jobs[2] = {
     { .rank = 0.02,
-      .rank_kept = 0.02,
+      .rank_on_time = 0.02,
       .rank_late = 0.1,
       .work = c->ahead_ms * WORK_A_MS },
     { .rank = 1,
-      .rank_kept = 1,
+      .rank_on_time = 1,
       .rank_late = 1 / LATE_PART,
       .work = 1000,
       .task_ms = TASK_MS,
@@ -86,7 +86,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (jobs); i++)
     {
       AdmissionJob job = { .rank = i + 1,
-                           .rank_kept = i + 1,
+                           .rank_on_time = i + 1,
                            .rank_late = (i + 1) / LATE_PART,
                            .work = 400 * WORK_A_MS,
                            .task_ms = TASK_MS,
