--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -130,11 +130,11 @@
   'if (FALSE)' test-once /once/new-owner-after-settlement
 mutant look-by-lease src/runner.c 'MIN (runner->lease_sent_ms, runner->listed_ms)' \
   'runner->lease_sent_ms' test-runner /runner/ends-are-looked-for-under-starts
-mutant lost-watch-waits src/long_polls.c 'if (place->number == 0 || place->overdue_ms == 0' \
+mutant lost-watch-waits src/long_polls.c 'if (poll->number == 0 || poll->due_ms == 0' \
   'if (TRUE' test-runner /runner/lost-watch-is-replaced
 mutant crowded-out-waits src/dispatcher_order.c 'if (nothing_ordered (job)
           &&' 'if (FALSE &&' test-load /load/overload
-mutant room-to-anyone src/offers.c 'best == NULL || goes_before (&wanting->wish, &best->wish)' \
+mutant room-to-anyone src/offers.c 'best == NULL || goes_before (&waiter->request, &best->request)' \
   'best == NULL' test-offers /offers/best-rank-first
 mutant late-order-first src/dispatcher_order.c 'return rank / LATE_PART;' \
   'return rank + RANK_NO_CHANCE / 2;' test-dispatcher /dispatcher/nearly-done-goes-before-fresh
--- a/src/long_polls.h
+++ b/src/long_polls.h
@@ -1,44 +1,44 @@
 #pragma once
-/* The calls that wait at a backend server until a run ends there. Usually one does. While
- * answers get lost there are two, which wait only briefly: whichever answers shows that
- * the other was lost. No I/O of its own. */
+/* Long polls: calls held open at the backend server until a run ends there. Usually one
+ * is in flight. While replies get lost there are two with a short wait: whichever is
+ * answered shows that the other was lost. No I/O of its own. */
 #include <glib.h>
 
 #define LONG_POLLS_MAX 2
 
 typedef struct
 {
-  guint64 number;    /* 0: none under way in this place */
-  gint64 overdue_ms; /* since when an end is known that it should have told; 0: none is */
+  guint64 number; /* 0: not in flight */
+  gint64 due_ms;  /* since when it should have reported a known end; 0: none is known */
 } LongPoll;
 
 typedef struct
 {
-  LongPoll places[LONG_POLLS_MAX];
-  guint64 numbers;
+  LongPoll polls[LONG_POLLS_MAX];
+  guint64 last_number;
   gint64 lossy_until_ms;
 } LongPolls;
 
-/** long_polls_reset - none is under way: the server has begun another life. */
-void long_polls_reset (LongPolls *watches);
+/** long_polls_reset - none is in flight: the server has started a new instance. */
+void long_polls_reset (LongPolls *polls);
 
-/** long_polls_next - the number of a call to be made now, 0 if enough are under way.
- * @silent: the server answers nothing at all, so that a second call would tell no more.
+/** long_polls_next - the number of a poll to send now, 0 if enough are in flight.
+ * @unresponsive: the server answers no call, so that a second poll would tell no more.
  */
-guint64 long_polls_next (LongPolls *watches, gboolean silent, gint64 now_ms);
+guint64 long_polls_next (LongPolls *polls, gboolean unresponsive, gint64 now_ms);
 
-/** long_polls_ended - call @number is over. */
-void long_polls_ended (LongPolls *watches, guint64 number);
+/** long_polls_ended - poll @number has ended. */
+void long_polls_ended (LongPolls *polls, guint64 number);
 
-/** long_polls_lost - some call to the server got no answer. */
-void long_polls_lost (LongPolls *watches, gint64 now_ms);
+/** long_polls_lost - some call to the server got no reply. */
+void long_polls_lost (LongPolls *polls, gint64 now_ms);
 
-/** long_polls_expect_end - an answer told of a new end: the calls under way should
- * follow. */
-void long_polls_expect_end (LongPolls *watches, gint64 now_ms);
+/** long_polls_expect_end - a reply reported a new end: polls in flight should report it
+ * too. */
+void long_polls_expect_end (LongPolls *polls, gint64 now_ms);
 
-/** long_polls_check - give up those that should have answered by now. */
-void long_polls_check (LongPolls *watches, gint64 now_ms);
+/** long_polls_check - drop polls that should have been answered by now. */
+void long_polls_check (LongPolls *polls, gint64 now_ms);
 
-/** long_polls_wait_ms - how long the server may hold a call. */
-guint long_polls_wait_ms (const LongPolls *watches, gint64 now_ms);
+/** long_polls_wait_ms - how long the server may hold a poll open. */
+guint long_polls_wait_ms (const LongPolls *polls, gint64 now_ms);
--- a/src/offers.c
+++ b/src/offers.c
@@ -3,22 +3,22 @@
 typedef struct
 {
   guint64 entry;
-  ResourceRequest wish;
-  gint64 refused_ms;
-} Wanting;
+  ResourceRequest request;
+  gint64 received_ms;
+} Waiter;
 
 typedef struct
 {
   guint64 entry;
-  Demand kept;
+  Demand reserved;
   gint64 until_ms;
 } Offer;
 
 struct Offers
 {
   Demand room;
-  GArray *wanting; /* of Wanting, one for each entry */
-  GArray *open;    /* of Offer, one for an entry at most */
+  GArray *waiters; /* of Waiter, one per entry */
+  GArray *open;    /* of Offer, at most one per entry */
 };
 
 Offers *
@@ -26,7 +26,7 @@
 {
   Offers *offers = g_new0 (Offers, 1);
 
-  offers->wanting = g_array_new (FALSE, FALSE, sizeof (Wanting));
+  offers->waiters = g_array_new (FALSE, FALSE, sizeof (Waiter));
   offers->open = g_array_new (FALSE, FALSE, sizeof (Offer));
   return offers;
 }
@@ -34,34 +34,34 @@
 void
 offers_free (Offers *offers)
 {
-  g_array_unref (offers->wanting);
+  g_array_unref (offers->waiters);
   g_array_unref (offers->open);
   g_free (offers);
 }
 
 static void
-forget (Offers *offers, guint64 entry)
+remove_waiter (Offers *offers, guint64 entry)
 {
-  for (guint i = 0; i < offers->wanting->len; i++)
-    if (g_array_index (offers->wanting, Wanting, i).entry == entry)
+  for (guint i = 0; i < offers->waiters->len; i++)
+    if (g_array_index (offers->waiters, Waiter, i).entry == entry)
       {
-        g_array_remove_index_fast (offers->wanting, i);
+        g_array_remove_index_fast (offers->waiters, i);
         return;
       }
 }
 
 static gboolean
-is_old (const Wanting *wanting, gint64 now_ms)
+is_expired (const Waiter *waiter, gint64 now_ms)
 {
-  return now_ms - wanting->refused_ms > wanting->wish.valid_ms;
+  return now_ms - waiter->received_ms > waiter->request.valid_ms;
 }
 
 static void
-forget_old (Offers *offers, gint64 now_ms)
+remove_expired (Offers *offers, gint64 now_ms)
 {
-  for (guint i = offers->wanting->len; i > 0; i--)
-    if (is_old (&g_array_index (offers->wanting, Wanting, i - 1), now_ms))
-      g_array_remove_index_fast (offers->wanting, i - 1);
+  for (guint i = offers->waiters->len; i > 0; i--)
+    if (is_expired (&g_array_index (offers->waiters, Waiter, i - 1), now_ms))
+      g_array_remove_index_fast (offers->waiters, i - 1);
 }
 
 static const Offer *
@@ -88,86 +88,89 @@
       }
 }
 
-/* What is kept for nobody. */
 static Demand
-rest_of (const Offers *offers)
+unreserved (const Offers *offers)
 {
   Demand rest = offers->room;
 
   for (guint i = 0; i < offers->open->len; i++)
-    demand_subtract (&rest, &g_array_index (offers->open, Offer, i).kept);
+    demand_subtract (&rest, &g_array_index (offers->open, Offer, i).reserved);
   return rest;
 }
 
 static gboolean
-goes_before (const ResourceRequest *wish, const ResourceRequest *other)
+goes_before (const ResourceRequest *request, const ResourceRequest *other)
 {
-  if (wish->rank != other->rank)
-    return wish->rank < other->rank;
-  return wish->tasks > other->tasks;
+  if (request->rank != other->rank)
+    return request->rank < other->rank;
+  return request->tasks > other->tasks;
 }
 
-/* The best wish without an offer that fits what is left. */
-static const Wanting *
+/* Of the waiters without an offer that fit into @rest, the one to be served first. */
+static const Waiter *
 best_for (const Offers *offers, const Demand *rest)
 {
   static const Demand nothing;
-  const Wanting *best = NULL;
+  const Waiter *best = NULL;
 
-  for (guint i = 0; i < offers->wanting->len; i++)
+  for (guint i = 0; i < offers->waiters->len; i++)
     {
-      const Wanting *wanting = &g_array_index (offers->wanting, Wanting, i);
+      const Waiter *waiter = &g_array_index (offers->waiters, Waiter, i);
 
-      if (find_offer (offers, wanting->entry) != NULL
-          || !demand_fits (rest, &nothing, &wanting->wish.need))
+      if (find_offer (offers, waiter->entry) != NULL
+          || !demand_fits (rest, &nothing, &waiter->request.need))
         continue;
-      if (best == NULL || goes_before (&wanting->wish, &best->wish))
-        best = wanting;
+      if (best == NULL || goes_before (&waiter->request, &best->request))
+        best = waiter;
     }
   return best;
 }
 
-/* As much as the first job there can use. */
+/* As much of @rest as the first job there can use. */
 static Demand
-kept_for (const ResourceRequest *wish, const Demand *rest)
+reservation_for (const ResourceRequest *request, const Demand *rest)
 {
-  Demand kept = { 0 };
+  Demand reserved = { 0 };
 
-  for (guint i = 0; i < MAX (wish->first_tasks, 1); i++)
+  for (guint i = 0; i < MAX (request->first_tasks, 1); i++)
     {
-      if (!demand_fits (rest, &kept, &wish->need))
+      if (!demand_fits (rest, &reserved, &request->need))
         break;
-      demand_add (&kept, &wish->need);
+      demand_add (&reserved, &request->need);
     }
-  return kept;
+  return reserved;
 }
 
 static void
-hand_out (Offers *offers, gint64 now_ms)
+make_offers (Offers *offers, gint64 now_ms)
 {
-  Demand rest = rest_of (offers);
-  const Wanting *best;
+  Demand rest = unreserved (offers);
+  const Waiter *best;
 
-  forget_old (offers, now_ms);
+  remove_expired (offers, now_ms);
   while ((best = best_for (offers, &rest)) != NULL)
     {
-      Offer offer = { best->entry, kept_for (&best->wish, &rest), now_ms + OFFER_MS };
+      Offer offer
+          = { best->entry, reservation_for (&best->request, &rest), now_ms + OFFER_MS };
 
       g_array_append_val (offers->open, offer);
-      demand_subtract (&rest, &offer.kept);
+      demand_subtract (&rest, &offer.reserved);
     }
 }
 
 void
-offers_request (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms)
+offers_request (Offers *offers,
+                guint64 entry,
+                const ResourceRequest *request,
+                gint64 now_ms)
 {
-  Wanting wanting = { entry, *wish, now_ms };
+  Waiter waiter = { entry, *request, now_ms };
 
-  forget (offers, entry);
+  remove_waiter (offers, entry);
   withdraw (offers, entry);
-  if (wish->tasks > 0)
-    g_array_append_val (offers->wanting, wanting);
-  hand_out (offers, now_ms);
+  if (request->tasks > 0)
+    g_array_append_val (offers->waiters, waiter);
+  make_offers (offers, now_ms);
 }
 
 void
@@ -179,19 +182,19 @@
 void
 offers_capacity_freed (Offers *offers, gint64 now_ms)
 {
-  hand_out (offers, now_ms);
+  make_offers (offers, now_ms);
 }
 
 void
-offers_used (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms)
+offers_used (Offers *offers, guint64 entry, const ResourceRequest *request, gint64 now_ms)
 {
-  offers_request (offers, entry, wish, now_ms);
+  offers_request (offers, entry, request, now_ms);
 }
 
 void
 offers_tick (Offers *offers, gint64 now_ms)
 {
-  gboolean lapsed = FALSE;
+  gboolean expired = FALSE;
 
   for (guint i = offers->open->len; i > 0; i--)
     {
@@ -199,12 +202,12 @@
 
       if (now_ms < offer->until_ms)
         continue;
-      forget (offers, offer->entry);
+      remove_waiter (offers, offer->entry);
       g_array_remove_index (offers->open, i - 1);
-      lapsed = TRUE;
+      expired = TRUE;
     }
-  if (lapsed)
-    hand_out (offers, now_ms);
+  if (expired)
+    make_offers (offers, now_ms);
 }
 
 gboolean
@@ -223,9 +226,9 @@
 offers_available_to (const Offers *offers, guint64 entry)
 {
   const Offer *offer = find_offer (offers, entry);
-  Demand room = rest_of (offers);
+  Demand room = unreserved (offers);
 
   if (offer != NULL)
-    demand_add (&room, &offer->kept);
+    demand_add (&room, &offer->reserved);
   return room;
 }
--- a/src/offers.h
+++ b/src/offers.h
@@ -1,10 +1,11 @@
 #pragma once
-/* Whom an agent tells of room that frees while several entries have work for it. Told to
- * all at once, the nearest entry would win each time, callers of other availability zones
- * would be refused, and most orders would come too late. Room is kept for the first job
- * of the entry whose job has the best rank, what is left for the next one, and so on, so
- * that the order of jobs holds over all entries; what none of them can use all may use.
- */
+/* Free capacity of a backend server, reserved for one entry for a few ms.
+ *
+ * If it was announced to all entries at once, the nearest would win each time, callers of
+ * other availability zones would be refused, and most orders would come too late. Instead
+ * it is reserved for the first job of the entry whose first job has the lowest rank, the
+ * rest for the next entry, and so on, so that jobs keep their order across entries. What
+ * none of them can use is available to all. */
 #include "resource_request.h"
 
 typedef struct Offers Offers;
@@ -12,33 +13,35 @@
 Offers *offers_new (void);
 void offers_free (Offers *offers);
 
-/** offers_request - this waits at @entry, which found no room; nothing may wait there. */
+/** offers_request - @entry found no free capacity for @request, which may be empty. */
 void offers_request (Offers *offers,
                      guint64 entry,
-                     const ResourceRequest *wish,
+                     const ResourceRequest *request,
                      gint64 now_ms);
 
-/** offers_set_free - so much is free now. */
+/** offers_set_free - set the capacity that is free now. */
 void offers_set_free (Offers *offers, const Demand *room);
 
-/** offers_capacity_freed - there is room again. */
+/** offers_capacity_freed - make offers from capacity that became free. */
 void offers_capacity_freed (Offers *offers, gint64 now_ms);
 
-/** offers_used - @entry has started all that it ordered; this still waits there. */
-void
-offers_used (Offers *offers, guint64 entry, const ResourceRequest *wish, gint64 now_ms);
+/** offers_used - @entry has started all that it ordered; @request still waits there. */
+void offers_used (Offers *offers,
+                  guint64 entry,
+                  const ResourceRequest *request,
+                  gint64 now_ms);
 
-/** offers_tick - let offers lapse that were not taken. */
+/** offers_tick - withdraw expired offers and the requests they answered. */
 void offers_tick (Offers *offers, gint64 now_ms);
 
-/** offers_open - whether room is kept for any entry now. */
+/** offers_open - whether capacity is reserved for any entry. */
 gboolean offers_open (const Offers *offers);
 
-/** offers_is_reserved_for - whether room is kept for @entry. */
+/** offers_is_reserved_for - whether capacity is reserved for @entry. */
 gboolean offers_is_reserved_for (const Offers *offers, guint64 entry);
 
-/** offers_available_to - what @entry may use of what is free. */
+/** offers_available_to - the free capacity that @entry may use. */
 Demand offers_available_to (const Offers *offers, guint64 entry);
 
-/* An offer is taken within two ways through the network and a turn of both loops. */
+/* An offer is taken within a network round trip and an event-loop iteration per end. */
 #define OFFER_MS 6
--- a/tests/test-offers.c
+++ b/tests/test-offers.c
@@ -1,8 +1,8 @@
-/* Whom an agent tells of free room, and the same under load from near and far entries. */
+/* Which entry an agent offers free capacity to, also under load from near and far. */
 #include "cases.h"
 #include "offers.h"
 
-#define STANDS_MS 80
+#define VALID_MS 80
 #define NEAR 1
 #define FAR 2
 
@@ -36,17 +36,17 @@
 static void
 wants (Offers *offers, guint64 entry, guint tasks, double rank, gint64 now_ms)
 {
-  ResourceRequest wish = { tasks, tasks, rank, need, STANDS_MS };
+  ResourceRequest request = { tasks, tasks, rank, need, VALID_MS };
 
-  offers_request (offers, entry, &wish, now_ms);
+  offers_request (offers, entry, &request, now_ms);
 }
 
 static void
 uses (Offers *offers, guint64 entry, guint tasks_left, double rank, gint64 now_ms)
 {
-  ResourceRequest wish = { tasks_left, tasks_left, rank, need, STANDS_MS };
+  ResourceRequest request = { tasks_left, tasks_left, rank, need, VALID_MS };
 
-  offers_used (offers, entry, &wish, now_ms);
+  offers_used (offers, entry, &request, now_ms);
 }
 
 static void
@@ -78,9 +78,8 @@
   offers_free (offers);
 }
 
-/* Symptom: under load urgent jobs of one entry are refused while long jobs of another
- * run. Sequence: both wait for room on a server, the long ones in a longer queue. Cause:
- * each entry orders its own jobs only; room went to the longest queue. */
+/* Urgent jobs of one entry were refused under load while long jobs of another ran: free
+ * capacity went to the longest queue, and each entry orders its own jobs only. */
 static void
 test_best_rank_first (void)
 {
@@ -94,9 +93,9 @@
   offers_free (offers);
 }
 
-/* An entry that was killed or found other room does not take its offer. */
+/* An entry that was killed or found capacity elsewhere does not take its offer. */
 static void
-test_untaken_offer_lapses (void)
+test_untaken_offer_expires (void)
 {
   Offers *offers = offers_new ();
 
@@ -114,7 +113,7 @@
 }
 
 static void
-test_old_wishes_are_forgotten (void)
+test_old_requests_expire (void)
 {
   Offers *offers = offers_new ();
 
@@ -124,10 +123,10 @@
   offers_free (offers);
 }
 
-/* Symptom: under load callers of one availability zone are refused, those of another not.
- * Sequence: a slot frees every 10 ms; the near entry hears of it 1 ms sooner, the far one
- * serves three times as many callers.
- * Cause: whoever hears first wins, or each entry gets an equal part. */
+/* Callers of one availability zone are refused under load and those of another are not,
+ * if the first entry to learn of a free slot wins or each entry gets an equal share. A
+ * slot frees every 10 ms; the near entry learns of it 1 ms sooner, the far one serves
+ * three times as many callers. */
 static void
 test_overload_is_shared (void)
 {
@@ -154,10 +153,9 @@
   offers_free (offers);
 }
 
-/* Symptom: with twelve entries under load 0.02 of all room stood free while jobs waited.
- * Sequence: room for three tasks frees; the entry with the best job needs one of them,
- * and until it has ordered it, all others see a full server. Cause: all free room was
- * kept for one entry at a time. */
+/* With twelve entries under load, 0.02 of the capacity was unused while jobs waited: all
+ * free capacity was reserved for one entry at a time. Here it fits three tasks, and the
+ * first entry needs one; all others saw a full server until it had ordered. */
 static void
 test_rest_goes_to_next (void)
 {
@@ -178,9 +176,8 @@
   offers_free (offers);
 }
 
-/* Symptom: room stood free until an offer lapsed. Sequence: an entry asks two servers for
- * each task; one has room, the other offers some for nothing. Cause: who no longer needed
- * an offer did not say so. */
+/* Capacity stayed unused until an offer expired: an entry requests it from two servers
+ * for each task, and did not decline the offer that it no longer needed. */
 static void
 test_declined_offer_is_handed_on (void)
 {
@@ -196,7 +193,7 @@
   offers_free (offers);
 }
 
-/* Who asks for room that is free has not heard of it yet: it is told at once. */
+/* An entry that requests free capacity does not know of it yet: it gets an offer. */
 static void
 test_room_is_offered_to_who_asks (void)
 {
@@ -215,8 +212,8 @@
   g_test_add_func ("/offers/all-while-none-wants", test_all_while_none_wants);
   g_test_add_func ("/offers/longest-queue-first", test_longest_queue_first);
   g_test_add_func ("/offers/best-rank-first", test_best_rank_first);
-  g_test_add_func ("/offers/untaken-offer-lapses", test_untaken_offer_lapses);
-  g_test_add_func ("/offers/old-wishes-are-forgotten", test_old_wishes_are_forgotten);
+  g_test_add_func ("/offers/untaken-offer-lapses", test_untaken_offer_expires);
+  g_test_add_func ("/offers/old-wishes-are-forgotten", test_old_requests_expire);
   g_test_add_func ("/offers/overload-is-shared", test_overload_is_shared);
   g_test_add_func ("/offers/rest-goes-to-next", test_rest_goes_to_next);
   g_test_add_func ("/offers/declined-is-handed-on", test_declined_offer_is_handed_on);
