--- a/src/admission.c
+++ b/src/admission.c
@@ -1,34 +1,34 @@
 #include "admission.h"
 
-/* What arrives and goes before a job stretches its wait so many times at most: more
- * cannot be told from for ever. Much less would keep jobs waiting that are refused in the
- * end. */
-#define STRETCH_MOST 30.0
+/* Largest factor by which arrivals stretch a wait; beyond it, a wait cannot be told from
+ * an endless one. A much lower limit would keep jobs waiting that are refused in the end.
+ */
+#define MAX_STRETCH 30.0
 
-/* While its own tasks run, a job is first in order everywhere, and gets room wherever it
- * frees. What goes before it gets this entry's part of the servers, stretched by what
- * arrives meanwhile. */
+/* Work ahead of the job gets this entry's share of the servers, less what arrives ahead
+ * of the job meanwhile. Once its own tasks run, the job is first in the order everywhere
+ * and gets capacity wherever it frees. */
 static double
 expected_wait_ms (const AdmissionLoad *load, const AdmissionJob *job, double rank)
 {
   double arriving = arrivals_before (load->arrivals, rank, load->now_ms);
-  double room_left = MAX (1 - arriving / load->rate, 1 / STRETCH_MOST);
+  double share_left = MAX (1 - arriving / load->rate, 1 / MAX_STRETCH);
 
-  return job->ahead / load->rate / room_left + job->work / load->capacity;
+  return job->ahead / load->rate / share_left + job->work / load->capacity;
 }
 
-/* Sums over the jobs in the order of their ranks. */
+/* Sums over the jobs in order of rank. */
 typedef struct
 {
   const AdmissionJob *jobs;
   gsize n;
   double *work;    /* [i]: of all jobs before i */
-  double *refused; /* [i]: of those before i that are refused, as far as it is decided */
-} Sums;
+  double *refused; /* [i]: of those before i that are refused so far */
+} PrefixSums;
 
-/* The first job that goes after @rank. */
+/* Index of the first job with a rank above @rank. */
 static gsize
-first_after (const Sums *sums, double rank)
+first_after (const PrefixSums *sums, double rank)
 {
   gsize low = 0;
   gsize high = sums->n;
@@ -45,9 +45,9 @@
   return low;
 }
 
-/* What waits and would go before job @i if that had @rank. */
+/* Waiting work ahead of job @i if its rank were @rank. */
 static double
-work_before (const Sums *sums, gsize i, double rank)
+work_before (const PrefixSums *sums, gsize i, double rank)
 {
   gsize end = first_after (sums, rank);
   double own = end > i ? sums->jobs[i].work : 0;
@@ -57,7 +57,7 @@
 
 static gboolean
 can_end_by (const AdmissionLoad *load,
-            const Sums *sums,
+            const PrefixSums *sums,
             gsize i,
             AdmissionJob *job,
             double rank,
@@ -71,7 +71,7 @@
 void
 admission_decide (const AdmissionLoad *load, AdmissionJob *jobs, gsize n)
 {
-  Sums sums = { jobs, n, g_new0 (double, n + 1), g_new0 (double, n + 1) };
+  PrefixSums sums = { jobs, n, g_new0 (double, n + 1), g_new0 (double, n + 1) };
 
   for (gsize i = 0; i < n; i++)
     sums.work[i + 1] = sums.work[i] + jobs[i].work;
--- a/tests/test-admission.c
+++ b/tests/test-admission.c
@@ -1,33 +1,31 @@
-/* Which waiting jobs are refused, decided on figures alone. */
+/* Which waiting jobs admission control refuses. */
 #include "admission.h"
 #include "cases.h"
 
 #define NOW_MS 100000
-/* Ten cores for this entry, thirty for all: ms x thousandths of a core a millisecond. */
+/* Ten cores for this entry, thirty for all: ms x thousandths of a core per ms. */
 #define RATE 10000.0
 #define CAPACITY 30000.0
 #define WORK_A_MS RATE
 #define LATE_PART 0.2
 
-/* One job asks, with @ahead_ms of work before it and more of better rank arriving. */
+/* One job to decide on, with work ahead of it and more of lower rank arriving. */
 typedef struct
 {
   const char *name;
-  double ahead_ms; /* to be done before it */
-  double arriving; /* part of the entry's room that better work takes */
+  double ahead_ms; /* work ahead of it */
+  double arriving; /* share of the entry's capacity that this work takes */
   gint64 left_ms;  /* until its objective, which is 200 ms long */
   gint64 late_left_ms;
-  gboolean ordered; /* something of it was ordered already */
+  gboolean ordered; /* some of its tasks were ordered already */
   gboolean refused;
 } AdmissionCase;
 
 #define TASK_MS 100
 
-/* Symptom: callers are refused while room frees every few ms, or are kept and then
- * refused when their time is over. Sequence: a job waits behind others for some ten ms;
- * or behind few, but ever more of better rank arrive. Cause: refused by the time that has
- * passed instead of the wait that is left; or by what waits alone, without what arrives
- * meanwhile. */
+/* Callers are refused while capacity frees every few ms, if a job is judged by the time
+ * that has passed instead of its remaining wait; or they wait until their time is over,
+ * if only the queued work counts and not what arrives ahead of the job meanwhile. */
 static const AdmissionCase cases[] = {
   { "alone", 0, 0, 200, 600, FALSE, FALSE },
   { "waits-its-turn", 60, 0, 140, 540, FALSE, FALSE },
@@ -75,7 +73,7 @@
   g_assert_cmpint (jobs[1].refused, ==, c->refused);
 }
 
-/* A refused job makes room for those behind it. */
+/* A refused job no longer counts as work ahead of those behind it. */
 static void
 test_refused_is_not_waited_for (void)
 {
@@ -104,7 +102,7 @@
 }
 
 static void
-test_arrivals_fade (void)
+test_arrivals_decay (void)
 {
   Arrivals arrivals = { 0 };
   double before;
@@ -116,7 +114,7 @@
   g_assert_cmpfloat (arrivals_before (&arrivals, 1, NOW_MS + 3000), <, before / 10);
 }
 
-/* What has gathered before an entry's start comes all at once: no lasting rate. */
+/* Work that gathered before an entry's start arrives at once and is no lasting rate. */
 static void
 test_inrush_is_not_counted (void)
 {
@@ -127,7 +125,7 @@
   g_assert_cmpfloat (arrivals_before (&arrivals, 10, NOW_MS + 100), ==, 0);
 }
 
-/* Ranks from nothing at all to those of hopeless jobs stay within the steps. */
+/* Ranks from zero to those of infeasible jobs stay within the buckets. */
 static void
 test_any_rank (void)
 {
@@ -148,7 +146,7 @@
   ADD_CASES ("/admission", cases, test_case);
   g_test_add_func ("/admission/refused-is-not-waited-for",
                    test_refused_is_not_waited_for);
-  g_test_add_func ("/admission/arrivals-fade", test_arrivals_fade);
+  g_test_add_func ("/admission/arrivals-fade", test_arrivals_decay);
   g_test_add_func ("/admission/inrush-is-not-counted", test_inrush_is_not_counted);
   g_test_add_func ("/admission/any-rank", test_any_rank);
   return g_test_run ();
