--- a/src/budget.h
+++ b/src/budget.h
@@ -1,5 +1,5 @@
 #pragma once
-/* A retry budget: retries are a bounded share of first tries, so that they cannot feed an
+/* Retry budget: limits retries to a share of first tries, so that they cannot feed an
  * overload. */
 #include <glib.h>
 
@@ -8,8 +8,8 @@
   double tokens;
 } RetryBudget;
 
-/** budget_deposit - note a first try. */
+/** budget_deposit - count a first try. */
 void budget_deposit (RetryBudget *budget);
 
-/** budget_withdraw - ask for a retry. Return: whether it is allowed. */
+/** budget_withdraw - Return: whether a retry is allowed; it is counted then. */
 gboolean budget_withdraw (RetryBudget *budget);
--- a/src/demand.h
+++ b/src/demand.h
@@ -1,5 +1,5 @@
 #pragma once
-/* What tasks take of a backend server: processor, memory, accelerators. */
+/* Resources of a backend server that tasks take: CPU, memory, GPUs. */
 #include "godwitspar.pb-c.h"
 
 #include <glib.h>
@@ -15,9 +15,9 @@
 gboolean demand_fits (const Demand *capacity, const Demand *used, const Demand *need);
 void demand_add (Demand *sum, const Demand *part);
 
-/** demand_subtract - never below zero in any part. */
+/** demand_subtract - subtract each resource, down to zero. */
 void demand_subtract (Demand *sum, const Demand *part);
 
-/** demand_from_wire - NULL is nothing at all. */
+/** demand_from_wire - NULL gives an empty demand. */
 Demand demand_from_wire (const Gw__Demand *wire);
 void demand_to_wire (const Demand *demand, Gw__Demand *wire);
--- a/src/placement.c
+++ b/src/placement.c
@@ -1,12 +1,12 @@
 #include "placement.h"
 
-/* Run times vary by their nature: a server is taken to be slow only from here on. */
-#define SLOW_FROM 1.6
+/* Run times vary anyway; a server counts as slow only above this ratio. */
+#define SLOW_RATIO 1.6
 #define ZONE_BONUS 0.05
 #define SLOW_WEIGHT 0.5
 
-/* Slowness is judged against the fastest: when all are slower than expected, it is the
- * expectation that is wrong, and all are usual. */
+/* Slowness is relative to the fastest server: when all are slower than expected, the
+ * expectation is wrong and none is slow. */
 static double
 least_slowness (const PlacementCandidate *candidates, gsize n)
 {
@@ -23,15 +23,15 @@
 {
   double relative = candidate->slowness / least;
 
-  return relative > SLOW_FROM ? relative - 1.0 : 0.0;
+  return relative > SLOW_RATIO ? relative - 1.0 : 0.0;
 }
 
 static double
-usual_wait_ms (const PlacementCandidate *candidates,
-               gsize n,
-               double least,
-               double task_ms,
-               guint waiting)
+typical_wait_ms (const PlacementCandidate *candidates,
+                 gsize n,
+                 double least,
+                 double task_ms,
+                 guint waiting)
 {
   guint slots = 0;
 
@@ -63,7 +63,7 @@
                   guint waiting)
 {
   double least = least_slowness (candidates, n);
-  double wait_ms = usual_wait_ms (candidates, n, least, task_ms, waiting);
+  double wait_ms = typical_wait_ms (candidates, n, least, task_ms, waiting);
   double best_score = 0;
   int best = PLACEMENT_NONE;
 
--- a/src/runtimes.c
+++ b/src/runtimes.c
@@ -2,7 +2,7 @@
 
 #define DEFAULT_RUN_MS 300.0
 #define MIN_SAMPLES 8
-/* Weight of one observation once enough have been seen. */
+/* Least weight of an observation; the first ones weigh more. */
 #define LEARNING_RATE 0.02
 
 static guint
--- a/src/runtimes.h
+++ b/src/runtimes.h
@@ -1,9 +1,9 @@
 #pragma once
-/* Learned run times of one service. What jobs declare is only a label: tasks that declare
- * alike are taken to run alike, for as long as they are seen to take. */
+/* Learned run times of one service. The declared run time is only a label: tasks that
+ * declare alike are expected to run as long as such tasks were observed to. */
 #include <glib.h>
 
-/* Declared run times fall into classes by powers of two; class 0 is "none declared". */
+/* Classes of declared run times, by powers of two; class 0: none declared. */
 #define RUNTIMES_CLASSES 20
 
 typedef struct
@@ -22,6 +22,6 @@
 /** runtimes_estimate - expected run time in ms of a task that declares @declared_ms. */
 double runtimes_estimate (const Runtimes *runtimes, guint declared_ms);
 
-/** runtimes_observe_work - learn how much work a whole job is. Return: what is usual now.
+/** runtimes_observe_work - learn how much work a whole job is. Return: the mean so far.
  */
 double runtimes_observe_work (Runtimes *runtimes, double work);
--- a/src/server_health.c
+++ b/src/server_health.c
@@ -2,103 +2,102 @@
 
 #include <math.h>
 
-/* Two failures in a row among successes are beyond what tasks fail by themselves (a few
- * in a thousand). */
+/* Two failures in a row among successes exceed the tasks' own failure rate (a few in a
+ * thousand). */
 #define FAILING_RATE 0.25
 #define FAILING_LIMIT 0.4
 #define FAILING_GOOD 0.25
-/* Single starts go astray on the way to sound servers; five in a row do not. */
+/* Single starts are lost on the way to healthy servers; five in a row are not. */
 #define LOST_START_RATE 0.1
-/* Run times differ by about half of their mean by nature: single ones say little. */
+/* Run times vary by about half of their mean, so a single one says little. */
 #define SLOWNESS_RATE 0.15
 #define SLOWNESS_MOST 20.0
-/* A slow server gets little to do, so that its recovery would not be seen: what was
- * learned loses half of its weight in this time. */
+/* Half-life of the slowness: a slow server gets little work, so that its recovery would
+ * not be observed. */
 #define SLOWNESS_HALF_MS 1500
-#define DISTRUST_MS 400
-#define DISTRUST_DOUBLINGS 3
+#define EJECTION_MS 400
+#define EJECTION_DOUBLINGS 3
 
 void
-server_health_init (ServerHealth *quality)
+server_health_init (ServerHealth *health)
 {
   ServerHealth fresh = { .trust = TRUST_FULL, .slowness = 1 };
 
-  *quality = fresh;
+  *health = fresh;
 }
 
 static void
-distrust (ServerHealth *quality, gint64 now_ms)
+eject (ServerHealth *health, gint64 now_ms)
 {
-  if (quality->trust == TRUST_NONE)
+  if (health->trust == TRUST_NONE)
     return;
-  quality->trust = TRUST_NONE;
-  quality->until_ms
-      = now_ms + ((gint64)DISTRUST_MS << MIN (quality->periods, DISTRUST_DOUBLINGS));
-  quality->periods++;
+  health->trust = TRUST_NONE;
+  health->until_ms
+      = now_ms + ((gint64)EJECTION_MS << MIN (health->ejections, EJECTION_DOUBLINGS));
+  health->ejections++;
 }
 
 static void
-trust_again (ServerHealth *quality)
+restore_trust (ServerHealth *health)
 {
-  quality->trust = TRUST_FULL;
-  quality->periods = 0;
-  quality->failing = MIN (quality->failing, FAILING_GOOD);
+  health->trust = TRUST_FULL;
+  health->ejections = 0;
+  health->failing = MIN (health->failing, FAILING_GOOD);
 }
 
 static void
-forget_slowness (ServerHealth *quality, gint64 now_ms)
+decay_slowness (ServerHealth *health, gint64 now_ms)
 {
-  gint64 passed = now_ms - quality->decayed_ms;
+  gint64 passed = now_ms - health->decayed_ms;
 
-  if (quality->decayed_ms != 0 && passed > 0 && quality->slowness > 1)
-    quality->slowness
-        = pow (quality->slowness, exp2 (-(double)passed / SLOWNESS_HALF_MS));
-  quality->decayed_ms = now_ms;
+  if (health->decayed_ms != 0 && passed > 0 && health->slowness > 1)
+    health->slowness = pow (health->slowness, exp2 (-(double)passed / SLOWNESS_HALF_MS));
+  health->decayed_ms = now_ms;
 }
 
 void
-server_health_run_slow (ServerHealth *quality, double ratio)
+server_health_run_slow (ServerHealth *health, double ratio)
 {
   double bounded = CLAMP (ratio, 1 / SLOWNESS_MOST, SLOWNESS_MOST);
 
-  /* The mean of the logarithms: one run of ten times the length is no slow server. */
-  quality->slowness = exp (log (quality->slowness)
-                           + SLOWNESS_RATE * (log (bounded) - log (quality->slowness)));
+  /* Mean of the logarithms: one run of ten times the length is not a slow server. */
+  health->slowness = exp (log (health->slowness)
+                          + SLOWNESS_RATE * (log (bounded) - log (health->slowness)));
 }
 
 void
-server_health_run_ended (ServerHealth *quality, gboolean failed, gint64 now_ms)
+server_health_run_ended (ServerHealth *health, gboolean failed, gint64 now_ms)
 {
-  quality->failing += FAILING_RATE * ((failed ? 1.0 : 0.0) - quality->failing);
-  if (failed && (quality->failing > FAILING_LIMIT || quality->trust == TRUST_PROBE))
-    distrust (quality, now_ms);
-  else if (!failed && quality->trust == TRUST_PROBE)
-    trust_again (quality);
+  health->failing += FAILING_RATE * ((failed ? 1.0 : 0.0) - health->failing);
+  if (failed && (health->failing > FAILING_LIMIT || health->trust == TRUST_PROBE))
+    eject (health, now_ms);
+  else if (!failed && health->trust == TRUST_PROBE)
+    restore_trust (health);
 }
 
 void
-server_health_start_lost (ServerHealth *quality, gint64 now_ms)
+server_health_start_lost (ServerHealth *health, gint64 now_ms)
 {
-  quality->failing += LOST_START_RATE * (1 - quality->failing);
-  if (quality->failing > FAILING_LIMIT || quality->trust == TRUST_PROBE)
-    distrust (quality, now_ms);
+  health->failing += LOST_START_RATE * (1 - health->failing);
+  if (health->failing > FAILING_LIMIT || health->trust == TRUST_PROBE)
+    eject (health, now_ms);
 }
 
 void
-server_health_progress (ServerHealth *quality, guint stalled, guint moving, gint64 now_ms)
+server_health_progress (ServerHealth *health, guint stalled, guint moving, gint64 now_ms)
 {
-  quality->stalls = stalled;
+  health->stalls = stalled;
   if (stalled > 0 && moving == 0)
-    distrust (quality, now_ms);
-  else if (moving > 0 && stalled == 0 && quality->trust == TRUST_PROBE
-           && quality->failing < FAILING_LIMIT)
-    trust_again (quality);
+    eject (health, now_ms);
+  else if (moving > 0 && stalled == 0 && health->trust == TRUST_PROBE
+           && health->failing < FAILING_LIMIT)
+    restore_trust (health);
 }
 
 void
-server_health_tick (ServerHealth *quality, gint64 now_ms)
+server_health_tick (ServerHealth *health, gint64 now_ms)
 {
-  forget_slowness (quality, now_ms);
-  if (quality->trust == TRUST_NONE && now_ms >= quality->until_ms && quality->stalls == 0)
-    quality->trust = TRUST_PROBE;
+  decay_slowness (health, now_ms);
+  if (health->trust == TRUST_NONE && now_ms >= health->until_ms && health->stalls == 0)
+    health->trust = TRUST_PROBE;
 }
--- a/src/server_health.h
+++ b/src/server_health.h
@@ -1,9 +1,10 @@
 #pragma once
-/* How well a backend server runs its tasks, as the agent beside it sees: from the
- * progress and the ends of all runs, whoever ordered them. A server that fails or hangs
- * everything looks free and would draw all work. */
+/* The agent's view of its backend server's health, from the progress and the ends of all
+ * runs, whoever ordered them. A server that fails or hangs every run looks free and would
+ * attract all work. */
 #include <glib.h>
 
+/* Trust level, a circuit breaker: how many runs the server may get. */
 typedef enum
 {
   TRUST_FULL,
@@ -14,33 +15,30 @@
 typedef struct
 {
   Trust trust;
-  double slowness;   /* mean of run times against the expected ones */
+  double slowness;   /* mean of run times over expected ones */
   double failing;    /* share of failures among recent ends */
-  guint stalls;      /* runs that stand still now */
-  guint periods;     /* without trust in a row, for the backoff */
-  gint64 until_ms;   /* end of the period without trust */
-  gint64 decayed_ms; /* when slowness was last let fade */
+  guint stalls;      /* runs without progress now */
+  guint ejections;   /* in a row, for the backoff */
+  gint64 until_ms;   /* end of the ejection */
+  gint64 decayed_ms; /* when slowness was last decayed */
 } ServerHealth;
 
-void server_health_init (ServerHealth *quality);
+void server_health_init (ServerHealth *health);
 
 /** server_health_run_ended - a run ended by itself. */
-void server_health_run_ended (ServerHealth *quality, gboolean failed, gint64 now_ms);
+void server_health_run_ended (ServerHealth *health, gboolean failed, gint64 now_ms);
 
-/** server_health_start_lost - a start was refused or never answered: weighs less than a
+/** server_health_start_lost - a start was refused or never answered; weighs less than a
  * failure. */
-void server_health_start_lost (ServerHealth *quality, gint64 now_ms);
+void server_health_start_lost (ServerHealth *health, gint64 now_ms);
 
 /** server_health_run_slow - a run takes @ratio times as long as expected. */
-void server_health_run_slow (ServerHealth *quality, double ratio);
-
-/** server_health_progress - of @running runs that were looked at, @stalled make no
- * progress and
- * @moving do. */
-void server_health_progress (ServerHealth *quality,
-                             guint stalled,
-                             guint moving,
-                             gint64 now_ms);
-
-/** server_health_tick - let a period without trust end. */
-void server_health_tick (ServerHealth *quality, gint64 now_ms);
+void server_health_run_slow (ServerHealth *health, double ratio);
+
+/** server_health_progress - of the runs checked, @stalled make no progress and @moving
+ * do. */
+void
+server_health_progress (ServerHealth *health, guint stalled, guint moving, gint64 now_ms);
+
+/** server_health_tick - decay the slowness, and end an ejection once its time is over. */
+void server_health_tick (ServerHealth *health, gint64 now_ms);
