--- a/src/frame_delay.h
+++ b/src/frame_delay.h
@@ -1,12 +1,11 @@
 #pragma once
-/* How late the frames of a peer come, against the fastest of the last seconds: the sum of
- * what its process, its link and the own link hold up.
+/* Delay of a peer's frames over the least of the last seconds: the sum of what its
+ * process, its link and the own link add.
  *
  * Load pattern: one entry has twice the callers of another on a narrow link. Orders and
- * wishes wait there for hundreds of milliseconds, are too old when they arrive, and are
- * sent again with their payloads, which keeps the link full long after the cause is over.
- * Each end tells the other how late it hears it, and the sender holds back what may wait.
- */
+ * resource requests queue there for hundreds of ms, are outdated on arrival, and are
+ * resent with their payloads, which keeps the link full long after the cause is over.
+ * So each end reports the delay it observes, and the sender holds back what can wait. */
 #include <glib.h>
 
 #define FRAME_DELAY_WINDOWS 2
@@ -14,10 +13,10 @@
 typedef struct
 {
   gint64 least_ms[FRAME_DELAY_WINDOWS]; /* own clock less the peer's, in this window and
-                                        the one before */
-  gint64 window_ms; /* own clock when this window began; 0: nothing was heard */
+                                           the one before */
+  gint64 window_ms; /* own clock when this window began; 0: no frame yet */
   guint delay_ms;   /* of the last frame */
 } FrameDelay;
 
-/** frame_delay_observe - a frame says that its sender's clock showed @told_ms. */
-void frame_delay_observe (FrameDelay *lateness, gint64 told_ms, gint64 now_ms);
+/** frame_delay_observe - a frame was received; its sender's clock showed @peer_ms. */
+void frame_delay_observe (FrameDelay *delay, gint64 peer_ms, gint64 now_ms);
--- a/src/throttle.c
+++ b/src/throttle.c
@@ -1,39 +1,40 @@
 #include "throttle.h"
 
-#define MOST_MS 240
-/* More than a turn of either loop and the way between two zones. */
-#define LATE_MS 25
-/* What was changed shows in what is heard after about this. */
-#define CHANGE_MS 120
+#define MAX_INTERVAL_MS 240
+/* More than an event-loop iteration at each end and the latency between two zones. */
+#define DELAY_LIMIT_MS 25
+/* A changed interval shows in the reported delay after about this time. */
+#define ADJUST_MS 120
 
 Throttle
-throttle_new (guint least_ms)
+throttle_new (guint min_ms)
 {
-  Throttle pace = { .least_ms = least_ms, .interval_ms = least_ms };
+  Throttle throttle = { .min_ms = min_ms, .interval_ms = min_ms };
 
-  return pace;
+  return throttle;
 }
 
 guint
-throttle_interval_ms (const Throttle *pace)
+throttle_interval_ms (const Throttle *throttle)
 {
-  return pace->interval_ms;
+  return throttle->interval_ms;
 }
 
 gboolean
-throttle_is_active (const Throttle *pace)
+throttle_is_active (const Throttle *throttle)
 {
-  return pace->interval_ms > pace->least_ms;
+  return throttle->interval_ms > throttle->min_ms;
 }
 
 void
-throttle_on_delay (Throttle *pace, guint late_ms, gint64 now_ms)
+throttle_on_delay (Throttle *throttle, guint delay_ms, gint64 now_ms)
 {
-  if (now_ms - pace->changed_ms < CHANGE_MS)
+  if (now_ms - throttle->changed_ms < ADJUST_MS)
     return;
-  pace->changed_ms = now_ms;
-  if (late_ms > LATE_MS)
-    pace->interval_ms = MIN (2 * pace->interval_ms, MOST_MS);
+  throttle->changed_ms = now_ms;
+  if (delay_ms > DELAY_LIMIT_MS)
+    throttle->interval_ms = MIN (2 * throttle->interval_ms, MAX_INTERVAL_MS);
   else
-    pace->interval_ms = MAX (pace->interval_ms - pace->interval_ms / 4, pace->least_ms);
+    throttle->interval_ms
+        = MAX (throttle->interval_ms - throttle->interval_ms / 4, throttle->min_ms);
 }
