--- a/src/closed_zones.c
+++ b/src/closed_zones.c
@@ -8,10 +8,10 @@
 struct ClosedZones
 {
   GPtrArray *zones;    /* of ClosedZone, by name */
-  guint64 version;     /* of the table, as of which they are all */
-  guint64 changes;     /* of the set; 0: nothing is known */
-  gint64 confirmed_ms; /* when the table was last known to say so */
-  /* Of the frame that is being prepared. */
+  guint64 version;     /* of the table, as of which the set is complete */
+  guint64 revision;    /* 0: nothing is known */
+  gint64 confirmed_ms; /* when the table last confirmed the set */
+  /* Of the frame being prepared. */
   Gw__Closures message;
   Gw__ClosedZone *zone_messages;
   Gw__ClosedZone **zone_list;
@@ -29,71 +29,71 @@
 ClosedZones *
 closed_zones_new (void)
 {
-  ClosedZones *closures = g_new0 (ClosedZones, 1);
+  ClosedZones *set = g_new0 (ClosedZones, 1);
 
-  closures->zones = g_ptr_array_new_with_free_func (zone_free);
-  return closures;
+  set->zones = g_ptr_array_new_with_free_func (zone_free);
+  return set;
 }
 
 void
-closed_zones_free (ClosedZones *closures)
+closed_zones_free (ClosedZones *set)
 {
-  if (closures == NULL)
+  if (set == NULL)
     return;
-  g_ptr_array_unref (closures->zones);
-  g_free (closures->zone_messages);
-  g_free (closures->zone_list);
-  g_free (closures);
+  g_ptr_array_unref (set->zones);
+  g_free (set->zone_messages);
+  g_free (set->zone_list);
+  g_free (set);
 }
 
 /* Return: its index, or -1. */
 static int
-find_zone (const ClosedZones *closures, const char *name)
+find_zone (const ClosedZones *set, const char *name)
 {
-  for (guint i = 0; i < closures->zones->len; i++)
-    if (strcmp (closed_zones_get (closures, i)->name, name) == 0)
+  for (guint i = 0; i < set->zones->len; i++)
+    if (strcmp (closed_zones_get (set, i)->name, name) == 0)
       return (int)i;
   return -1;
 }
 
 static void
-note_change (ClosedZones *closures, const char *zone, gboolean closed, guint64 version)
+note_change (ClosedZones *set, const char *zone, gboolean closed, guint64 version)
 {
-  closures->changes++;
+  set->revision++;
   counter_add (closed ? COUNTER_ZONES_CLOSED : COUNTER_ZONES_OPENED, 1);
   event_note (closed ? "zone-closed" : "zone-opened", "-",
               "zone=%.100s version=%" G_GUINT64_FORMAT, zone, version);
 }
 
 static gboolean
-close_zone (ClosedZones *closures, const char *name, guint64 version)
+close_zone (ClosedZones *set, const char *name, guint64 version)
 {
   ClosedZone *zone;
-  int i = find_zone (closures, name);
+  int i = find_zone (set, name);
 
   if (i >= 0)
     {
-      zone = g_ptr_array_index (closures->zones, i);
+      zone = g_ptr_array_index (set->zones, i);
       zone->version = MAX (zone->version, version);
       return FALSE;
     }
   zone = g_new0 (ClosedZone, 1);
   zone->name = g_strdup (name);
   zone->version = version;
-  g_ptr_array_add (closures->zones, zone);
-  note_change (closures, name, TRUE, version);
+  g_ptr_array_add (set->zones, zone);
+  note_change (set, name, TRUE, version);
   return TRUE;
 }
 
 static void
-open_zone (ClosedZones *closures, guint i, guint64 version)
+open_zone (ClosedZones *set, guint i, guint64 version)
 {
-  note_change (closures, closed_zones_get (closures, i)->name, FALSE, version);
-  g_ptr_array_remove_index (closures->zones, i);
+  note_change (set, closed_zones_get (set, i)->name, FALSE, version);
+  g_ptr_array_remove_index (set->zones, i);
 }
 
 static gboolean
-is_among (const ZoneChange *changes, gsize n_changes, const char *name)
+is_listed (const ZoneChange *changes, gsize n_changes, const char *name)
 {
   for (gsize i = 0; i < n_changes; i++)
     if (strcmp (changes[i].zone, name) == 0)
@@ -102,169 +102,169 @@
 }
 
 static gboolean
-open_others (ClosedZones *closures,
+open_others (ClosedZones *set,
              const ZoneChange *changes,
              gsize n_changes,
              guint64 version)
 {
   gboolean changed = FALSE;
 
-  for (guint i = closures->zones->len; i > 0; i--)
-    if (!is_among (changes, n_changes, closed_zones_get (closures, i - 1)->name))
+  for (guint i = set->zones->len; i > 0; i--)
+    if (!is_listed (changes, n_changes, closed_zones_get (set, i - 1)->name))
       {
-        open_zone (closures, i - 1, version);
+        open_zone (set, i - 1, version);
         changed = TRUE;
       }
   return changed;
 }
 
 static gboolean
-apply_one (ClosedZones *closures, const ZoneChange *change)
+apply_one (ClosedZones *set, const ZoneChange *change)
 {
-  int i = find_zone (closures, change->zone);
+  int i = find_zone (set, change->zone);
 
   switch (change->state)
     {
     case ZONE_UNREADABLE:
       return FALSE;
     case ZONE_CLOSED:
-      return close_zone (closures, change->zone, change->version);
+      return close_zone (set, change->zone, change->version);
     case ZONE_OPEN:
       if (i >= 0)
-        open_zone (closures, (guint)i, change->version);
+        open_zone (set, (guint)i, change->version);
       return i >= 0;
     }
   g_assert_not_reached ();
 }
 
 static void
-confirm (ClosedZones *closures, gint64 when_ms)
+confirm (ClosedZones *set, gint64 when_ms)
 {
-  closures->confirmed_ms = MAX (closures->confirmed_ms, when_ms);
+  set->confirmed_ms = MAX (set->confirmed_ms, when_ms);
 }
 
 static gboolean
-take (ClosedZones *closures,
-      const ZoneChange *changes,
-      gsize n_changes,
-      gboolean whole,
-      guint64 version)
+merge (ClosedZones *set,
+       const ZoneChange *changes,
+       gsize n_changes,
+       gboolean whole,
+       guint64 version)
 {
   gboolean changed = FALSE;
 
-  /* What has changed says nothing while the rest is not known. */
-  if (version <= closures->version || (!whole && closures->changes == 0))
+  /* Changes are of no use before the whole set is known. */
+  if (version <= set->version || (!whole && set->revision == 0))
     return FALSE;
-  /* From now on a zone that is not named is known to be open. */
-  if (closures->changes == 0)
-    closures->changes = 1;
+  /* From now on a zone that is not listed is known to be open. */
+  if (set->revision == 0)
+    set->revision = 1;
   if (whole)
-    changed = open_others (closures, changes, n_changes, version);
+    changed = open_others (set, changes, n_changes, version);
   for (gsize i = 0; i < n_changes; i++)
-    if (changes[i].version > closures->version || whole)
-      changed |= apply_one (closures, &changes[i]);
-  closures->version = version;
-  counter_set (COUNTER_ZONES_CLOSED_NOW, closures->zones->len);
+    if (changes[i].version > set->version || whole)
+      changed |= apply_one (set, &changes[i]);
+  set->version = version;
+  counter_set (COUNTER_ZONES_CLOSED_NOW, set->zones->len);
   return changed;
 }
 
 gboolean
-closed_zones_apply (ClosedZones *closures,
+closed_zones_apply (ClosedZones *set,
                     const ZoneChange *changes,
                     gsize n_changes,
                     gboolean whole,
                     guint64 version,
                     gint64 now_ms)
 {
-  gboolean changed = take (closures, changes, n_changes, whole, version);
+  gboolean changed = merge (set, changes, n_changes, whole, version);
 
-  if (closures->changes > 0)
-    confirm (closures, now_ms);
+  if (set->revision > 0)
+    confirm (set, now_ms);
   return changed;
 }
 
 gboolean
-closed_zones_has (const ClosedZones *closures, const char *zone)
+closed_zones_has (const ClosedZones *set, const char *zone)
 {
-  return find_zone (closures, zone) >= 0;
+  return find_zone (set, zone) >= 0;
 }
 
 guint
-closed_zones_count (const ClosedZones *closures)
+closed_zones_count (const ClosedZones *set)
 {
-  return closures->zones->len;
+  return set->zones->len;
 }
 
 const ClosedZone *
-closed_zones_get (const ClosedZones *closures, guint i)
+closed_zones_get (const ClosedZones *set, guint i)
 {
-  return g_ptr_array_index (closures->zones, i);
+  return g_ptr_array_index (set->zones, i);
 }
 
 guint
-closed_zones_age_ms (const ClosedZones *closures, gint64 now_ms)
+closed_zones_age_ms (const ClosedZones *set, gint64 now_ms)
 {
-  if (closures->confirmed_ms == 0)
+  if (set->confirmed_ms == 0)
     return G_MAXUINT;
-  return (guint)CLAMP (now_ms - closures->confirmed_ms, 0, G_MAXUINT);
+  return (guint)CLAMP (now_ms - set->confirmed_ms, 0, G_MAXUINT);
 }
 
 guint64
-closed_zones_revision (const ClosedZones *closures)
+closed_zones_revision (const ClosedZones *set)
 {
-  return closures->changes;
+  return set->revision;
 }
 
 static void
-fill_message (ClosedZones *closures, gint64 now_ms)
+fill_message (ClosedZones *set, gint64 now_ms)
 {
-  guint n = closures->zones->len;
+  guint n = set->zones->len;
 
-  gw__closures__init (&closures->message);
-  closures->message.version = closures->version;
-  closures->message.age_ms = closed_zones_age_ms (closures, now_ms);
-  closures->zone_messages = g_renew (Gw__ClosedZone, closures->zone_messages, n);
-  closures->zone_list = g_renew (Gw__ClosedZone *, closures->zone_list, n);
+  gw__closures__init (&set->message);
+  set->message.version = set->version;
+  set->message.age_ms = closed_zones_age_ms (set, now_ms);
+  set->zone_messages = g_renew (Gw__ClosedZone, set->zone_messages, n);
+  set->zone_list = g_renew (Gw__ClosedZone *, set->zone_list, n);
   for (guint i = 0; i < n; i++)
     {
-      gw__closed_zone__init (&closures->zone_messages[i]);
-      closures->zone_messages[i].name = closed_zones_get (closures, i)->name;
-      closures->zone_messages[i].version = closed_zones_get (closures, i)->version;
-      closures->zone_list[i] = &closures->zone_messages[i];
+      gw__closed_zone__init (&set->zone_messages[i]);
+      set->zone_messages[i].name = closed_zones_get (set, i)->name;
+      set->zone_messages[i].version = closed_zones_get (set, i)->version;
+      set->zone_list[i] = &set->zone_messages[i];
     }
-  closures->message.n_zones = n;
-  closures->message.zones = closures->zone_list;
+  set->message.n_zones = n;
+  set->message.zones = set->zone_list;
 }
 
 static gboolean
-is_news (const ClosedZones *closures,
-         const ClosedZonesSent *told,
-         guint confirm_ms,
-         gint64 now_ms)
+is_due (const ClosedZones *set,
+        const ClosedZonesSent *sent,
+        guint confirm_ms,
+        gint64 now_ms)
 {
-  if (told->changes != closures->changes)
+  if (sent->revision != set->revision)
     return TRUE;
-  return confirm_ms > 0 && now_ms - told->told_ms >= confirm_ms
-         && closures->confirmed_ms > told->told_ms;
+  return confirm_ms > 0 && now_ms - sent->sent_ms >= confirm_ms
+         && set->confirmed_ms > sent->sent_ms;
 }
 
 void
-closed_zones_to_frame (ClosedZones *closures,
-                       ClosedZonesSent *told,
+closed_zones_to_frame (ClosedZones *set,
+                       ClosedZonesSent *sent,
                        guint confirm_ms,
                        Gw__Frame *frame,
                        gint64 now_ms)
 {
-  if (closures->changes == 0 || !is_news (closures, told, confirm_ms, now_ms))
+  if (set->revision == 0 || !is_due (set, sent, confirm_ms, now_ms))
     return;
-  told->changes = closures->changes;
-  told->told_ms = now_ms;
-  fill_message (closures, now_ms);
-  frame->closures = &closures->message;
+  sent->revision = set->revision;
+  sent->sent_ms = now_ms;
+  fill_message (set, now_ms);
+  frame->closures = &set->message;
 }
 
 gboolean
-closed_zones_from_frame (ClosedZones *closures, const Gw__Frame *frame, gint64 now_ms)
+closed_zones_from_frame (ClosedZones *set, const Gw__Frame *frame, gint64 now_ms)
 {
   const Gw__Closures *message = frame->closures;
   GArray *zones;
@@ -280,10 +280,10 @@
 
       g_array_append_val (zones, zone);
     }
-  changed = take (closures, (const ZoneChange *)zones->data, zones->len, TRUE,
-                  message->version);
+  changed
+      = merge (set, (const ZoneChange *)zones->data, zones->len, TRUE, message->version);
   g_array_unref (zones);
-  if (message->age_ms < G_MAXUINT && closures->changes > 0)
-    confirm (closures, now_ms - message->age_ms);
+  if (message->age_ms < G_MAXUINT && set->revision > 0)
+    confirm (set, now_ms - message->age_ms);
   return changed;
 }
--- a/src/zone_report.c
+++ b/src/zone_report.c
@@ -6,7 +6,7 @@
 #define ZONE_WIDTH 24
 #define PROCESS_WIDTH 24
 
-/* What a process last said of a zone. */
+/* The state of a zone that a process reported last. */
 typedef struct
 {
   char *zone;
@@ -14,85 +14,85 @@
   char *version;
   gint64 time_ms;
   gboolean closed;
-} Word;
+} ZoneRow;
 
 static void
-word_free (gpointer data)
+row_free (gpointer data)
 {
-  Word *word = data;
+  ZoneRow *row = data;
 
-  g_free (word->zone);
-  g_free (word->process);
-  g_free (word->version);
-  g_free (word);
+  g_free (row->zone);
+  g_free (row->process);
+  g_free (row->version);
+  g_free (row);
 }
 
-static Word *
-find_word (GPtrArray *words, const char *zone, const char *process)
+static ZoneRow *
+find_row (GPtrArray *rows, const char *zone, const char *process)
 {
-  for (guint i = 0; i < words->len; i++)
+  for (guint i = 0; i < rows->len; i++)
     {
-      Word *word = g_ptr_array_index (words, i);
+      ZoneRow *row = g_ptr_array_index (rows, i);
 
-      if (strcmp (word->zone, zone) == 0 && strcmp (word->process, process) == 0)
-        return word;
+      if (strcmp (row->zone, zone) == 0 && strcmp (row->process, process) == 0)
+        return row;
     }
   return NULL;
 }
 
 static void
-take_word (GPtrArray *words, const EventLine *line, const char *zone, gboolean closed)
+update_row (GPtrArray *rows, const EventLine *line, const char *zone, gboolean closed)
 {
-  Word *word = find_word (words, zone, line->process);
+  ZoneRow *row = find_row (rows, zone, line->process);
 
-  if (word == NULL)
+  if (row == NULL)
     {
-      word = g_new0 (Word, 1);
-      word->zone = g_strdup (zone);
-      word->process = g_strdup (line->process);
-      g_ptr_array_add (words, word);
+      row = g_new0 (ZoneRow, 1);
+      row->zone = g_strdup (zone);
+      row->process = g_strdup (line->process);
+      g_ptr_array_add (rows, row);
     }
-  else if (word->time_ms > line->time_ms)
+  else if (row->time_ms > line->time_ms)
     {
       return;
     }
-  word->time_ms = line->time_ms;
-  word->closed = closed;
-  g_free (word->version);
-  word->version = event_line_value (line->rest, "version");
+  row->time_ms = line->time_ms;
+  row->closed = closed;
+  g_free (row->version);
+  row->version = event_line_value (line->rest, "version");
 }
 
-/* A process that has started again knows nothing of what its earlier life said. */
+/* A restarted process knows nothing of the zones it reported before. */
 static void
-forget_process (GPtrArray *words, const EventLine *line)
+reset_process (GPtrArray *rows, const EventLine *line)
 {
-  for (guint i = 0; i < words->len; i++)
+  for (guint i = 0; i < rows->len; i++)
     {
-      Word *word = g_ptr_array_index (words, i);
+      ZoneRow *row = g_ptr_array_index (rows, i);
 
-      if (strcmp (word->process, line->process) == 0 && word->time_ms <= line->time_ms)
-        word->closed = FALSE;
+      if (strcmp (row->process, line->process) == 0 && row->time_ms <= line->time_ms)
+        row->closed = FALSE;
     }
 }
 
 static void
-take_line (GPtrArray *words, const EventLine *line)
+read_line (GPtrArray *rows, const EventLine *line)
 {
   gboolean closed = strcmp (line->event, "zone-closed") == 0;
   char *zone;
 
   if (strcmp (line->event, "started") == 0)
-    forget_process (words, line);
+    reset_process (rows, line);
   if (!closed && strcmp (line->event, "zone-opened") != 0)
     return;
   zone = event_line_value (line->rest, "zone");
   if (zone != NULL)
-    take_word (words, line, zone, closed);
+    update_row (rows, line, zone, closed);
   g_free (zone);
 }
 
 static void
-take_text (GPtrArray *words, const char *text)
+read_text (GPtrArray *rows, const char *text)
 {
   char **lines = g_strsplit (text, "\n", -1);
 
@@ -102,31 +102,31 @@
 
       if (line == NULL)
         continue;
-      take_line (words, line);
+      read_line (rows, line);
       event_line_free (line);
     }
   g_strfreev (lines);
 }
 
 static int
-compare_words (gconstpointer a, gconstpointer b)
+compare_rows (gconstpointer a, gconstpointer b)
 {
-  const Word *left = *(Word *const *)a;
-  const Word *right = *(Word *const *)b;
+  const ZoneRow *left = *(ZoneRow *const *)a;
+  const ZoneRow *right = *(ZoneRow *const *)b;
   int order = strcmp (left->zone, right->zone);
 
   return order != 0 ? order : strcmp (left->process, right->process);
 }
 
 static void
-tell_word (GString *out, const Word *word)
+print_row (GString *out, const ZoneRow *row)
 {
-  GDateTime *time = g_date_time_new_from_unix_utc (word->time_ms / 1000);
+  GDateTime *time = g_date_time_new_from_unix_utc (row->time_ms / 1000);
   char *since = g_date_time_format (time, "%Y-%m-%dT%H:%M:%SZ");
 
   g_string_append_printf (out, "%-*s %-*s closed since %s version %s\n", ZONE_WIDTH,
-                          word->zone, PROCESS_WIDTH, word->process, since,
-                          word->version != NULL ? word->version : "-");
+                          row->zone, PROCESS_WIDTH, row->process, since,
+                          row->version != NULL ? row->version : "-");
   g_free (since);
   g_date_time_unref (time);
 }
@@ -134,21 +134,21 @@
 char *
 zone_report (const char *const *texts)
 {
-  GPtrArray *words = g_ptr_array_new_with_free_func (word_free);
+  GPtrArray *rows = g_ptr_array_new_with_free_func (row_free);
   GString *out = g_string_new (NULL);
 
   for (; *texts != NULL; texts++)
-    take_text (words, *texts);
-  g_ptr_array_sort (words, compare_words);
-  for (guint i = 0; i < words->len; i++)
+    read_text (rows, *texts);
+  g_ptr_array_sort (rows, compare_rows);
+  for (guint i = 0; i < rows->len; i++)
     {
-      const Word *word = g_ptr_array_index (words, i);
+      const ZoneRow *row = g_ptr_array_index (rows, i);
 
-      if (word->closed)
-        tell_word (out, word);
+      if (row->closed)
+        print_row (out, row);
     }
   if (out->len == 0)
     g_string_append (out, "no availability zone is closed\n");
-  g_ptr_array_unref (words);
+  g_ptr_array_unref (rows);
   return g_string_free (out, FALSE);
 }
--- a/src/zone_report.h
+++ b/src/zone_report.h
@@ -1,7 +1,7 @@
 #pragma once
-/* Which availability zones are closed, as each process last said in its event lines. */
+/* Which availability zones are closed, by the last event lines of each process. */
 #include <glib.h>
 
-/** zone_report - a row for each zone and process that knows it closed; lines of any
- * processes, in any order. Free with g_free. */
+/** zone_report - a row for each zone and process that knows it closed. @texts: event
+ * lines of any processes, in any order. Free with g_free. */
 char *zone_report (const char *const *texts);
--- a/tests/test-closures.c
+++ b/tests/test-closures.c
@@ -1,11 +1,11 @@
-/* What a process believes of closed availability zones: which word counts, and what it
- * tells others. */
+/* The set of closed availability zones that a process knows: which update counts, and
+ * what is sent to peers. */
 #include "cases.h"
 #include "closed_zones.h"
 
 #include <string.h>
 
-#define STEPS_MOST 4
+#define MAX_UPDATES 4
 #define CONFIRM_MS 400
 
 typedef struct
@@ -13,12 +13,12 @@
   gboolean whole;
   guint64 version;
   ZoneChange changes[2];
-} Word;
+} Update;
 
 typedef struct
 {
   const char *name;
-  Word words[STEPS_MOST];
+  Update updates[MAX_UPDATES];
   const char *closed; /* in the end, joined by commas */
 } Case;
 
@@ -58,88 +58,88 @@
 };
 
 static gsize
-count_changes (const Word *word)
+count_changes (const Update *update)
 {
   gsize n = 0;
 
-  while (n < G_N_ELEMENTS (word->changes) && word->changes[n].zone != NULL)
+  while (n < G_N_ELEMENTS (update->changes) && update->changes[n].zone != NULL)
     n++;
   return n;
 }
 
 static void
-apply (ClosedZones *closures, const Word *word, gint64 now_ms)
+apply (ClosedZones *set, const Update *update, gint64 now_ms)
 {
-  closed_zones_apply (closures, word->changes, count_changes (word), word->whole,
-                      word->version, now_ms);
+  closed_zones_apply (set, update->changes, count_changes (update), update->whole,
+                      update->version, now_ms);
 }
 
 static void
-assert_closed (const ClosedZones *closures, const char *expected)
+assert_closed (const ClosedZones *set, const char *expected)
 {
   char **zones = g_strsplit (expected, ",", -1);
 
-  g_assert_cmpuint (closed_zones_count (closures), ==, g_strv_length (zones));
+  g_assert_cmpuint (closed_zones_count (set), ==, g_strv_length (zones));
   for (char **zone = zones; *zone != NULL; zone++)
-    g_assert_true (closed_zones_has (closures, *zone));
+    g_assert_true (closed_zones_has (set, *zone));
   g_strfreev (zones);
 }
 
 static void
-test_words (gconstpointer data)
+test_updates (gconstpointer data)
 {
-  const Case *words = data;
-  ClosedZones *closures = closed_zones_new ();
+  const Case *c = data;
+  ClosedZones *set = closed_zones_new ();
 
-  for (guint i = 0; i < STEPS_MOST && words->words[i].version > 0; i++)
-    apply (closures, &words->words[i], 100 * ((gint64)i + 1));
-  assert_closed (closures, words->closed);
-  closed_zones_free (closures);
+  for (guint i = 0; i < MAX_UPDATES && c->updates[i].version > 0; i++)
+    apply (set, &c->updates[i], 100 * ((gint64)i + 1));
+  assert_closed (set, c->closed);
+  closed_zones_free (set);
 }
 
-/* The same words reach a second process over frames alone. */
+/* The same updates reach a second process over frames alone. */
 static void
-test_told (gconstpointer data)
+test_sent (gconstpointer data)
 {
-  const Case *words = data;
-  ClosedZones *closures = closed_zones_new ();
+  const Case *c = data;
+  ClosedZones *set = closed_zones_new ();
   ClosedZones *other = closed_zones_new ();
-  ClosedZonesSent told = { 0 };
+  ClosedZonesSent sent = { 0 };
 
-  for (guint i = 0; i < STEPS_MOST && words->words[i].version > 0; i++)
+  for (guint i = 0; i < MAX_UPDATES && c->updates[i].version > 0; i++)
     {
       Gw__Frame frame = GW__FRAME__INIT;
 
-      apply (closures, &words->words[i], 100 * ((gint64)i + 1));
-      closed_zones_to_frame (closures, &told, 0, &frame, 100 * ((gint64)i + 1));
+      apply (set, &c->updates[i], 100 * ((gint64)i + 1));
+      closed_zones_to_frame (set, &sent, 0, &frame, 100 * ((gint64)i + 1));
       closed_zones_from_frame (other, &frame, 100 * ((gint64)i + 1));
     }
-  assert_closed (other, words->closed);
+  assert_closed (other, c->closed);
   closed_zones_free (other);
-  closed_zones_free (closures);
+  closed_zones_free (set);
 }
 
-/* An agent must notice that no entry has read the table for a while. */
+/* An agent must notice that no entry has read the table for some time. */
 static void
 test_age (void)
 {
-  static const Word first = { TRUE, 5, { { NULL } } };
+  static const Update first = { TRUE, 5, { { NULL } } };
   ClosedZones *entry = closed_zones_new ();
   ClosedZones *agent = closed_zones_new ();
-  ClosedZonesSent told = { 0 };
+  ClosedZonesSent sent = { 0 };
   Gw__Frame frame = GW__FRAME__INIT;
   Gw__Frame again = GW__FRAME__INIT;
 
   g_assert_cmpuint (closed_zones_age_ms (agent, 1000), ==, G_MAXUINT);
   apply (entry, &first, 1000);
-  closed_zones_to_frame (entry, &told, CONFIRM_MS, &frame, 1100);
+  closed_zones_to_frame (entry, &sent, CONFIRM_MS, &frame, 1100);
   closed_zones_from_frame (agent, &frame, 1200);
   g_assert_cmpuint (closed_zones_age_ms (agent, 1200), ==, 100);
-  /* The entry has not read it again: it has nothing to confirm. */
-  closed_zones_to_frame (entry, &told, CONFIRM_MS, &again, 1600);
+  /* The entry has not read the table again, so it has nothing to confirm. */
+  closed_zones_to_frame (entry, &sent, CONFIRM_MS, &again, 1600);
   g_assert_null (again.closures);
   apply (entry, &first, 1700);
-  closed_zones_to_frame (entry, &told, CONFIRM_MS, &again, 1800);
+  closed_zones_to_frame (entry, &sent, CONFIRM_MS, &again, 1800);
   g_assert_nonnull (again.closures);
   closed_zones_from_frame (agent, &again, 1800);
   g_assert_cmpuint (closed_zones_age_ms (agent, 1800), ==, 100);
@@ -151,8 +151,8 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  ADD_CASES ("/closures/words", cases, test_words);
-  ADD_CASES ("/closures/told", cases, test_told);
+  ADD_CASES ("/closures/words", cases, test_updates);
+  ADD_CASES ("/closures/told", cases, test_sent);
   g_test_add_func ("/closures/age", test_age);
   return g_test_run ();
 }
