--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -130,11 +130,11 @@
   'if (FALSE)' test-once /once/new-owner-after-settlement
 mutant look-by-lease src/runner.c 'MIN (runner->lease_sent_ms, runner->listed_ms)' \
   'runner->lease_sent_ms' test-runner /runner/ends-are-looked-for-under-starts
-mutant lost-watch-waits src/watches.c 'if (place->number == 0 || place->overdue_ms == 0' \
+mutant lost-watch-waits src/long_polls.c 'if (poll->number == 0 || poll->due_ms == 0' \
   'if (TRUE' test-runner /runner/lost-watch-is-replaced
 mutant crowded-out-waits src/dispatcher_order.c 'if (nothing_ordered (job)
           &&' 'if (FALSE &&' test-load /load/overload
-mutant room-to-anyone src/offers.c 'best == NULL || goes_before (&wanting->wish, &best->wish)' \
+mutant room-to-anyone src/offers.c 'best == NULL || goes_before (&waiter->request, &best->request)' \
   'best == NULL' test-offers /offers/best-rank-first
 mutant late-order-first src/dispatcher_order.c 'return rank / LATE_PART;' \
   'return rank + RANK_INFEASIBLE / 2;' test-dispatcher /dispatcher/nearly-done-goes-before-fresh
@@ -143,7 +143,7 @@
     return' test-runner /runner/closed-zone-takes-nothing
 mutant agent-never-asks src/leased_agent.c 'agent->ops->look_up_zones (agent->ctx);' '' \
   test-zones /zones/closed/the-only-entry-is-cut-off
-mutant opening-is-lost src/closures.c 'case ZONE_OPEN:
+mutant opening-is-lost src/closed_zones.c 'case ZONE_OPEN:
       if (i >= 0)' 'case ZONE_OPEN:
       if (FALSE)' test-closures /closures/words/closed-then-opened
 mutant settled-without-end src/runner_calls.c '
--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -2,11 +2,11 @@
 /* The dispatcher of an entry's leased jobs: queues them, places their tasks on backend
  * servers, reruns lost tasks and reports each job's result. Does no I/O: messages and the
  * time are passed in. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "peer_clock.h"
-#include "quality.h"
+#include "resource_request.h"
 #include "server_calls.h"
-#include "wish.h"
+#include "server_health.h"
 
 typedef struct Dispatcher Dispatcher;
 typedef struct LeasedJob LeasedJob;
@@ -79,11 +79,13 @@
                  const RunKey *runs,
                  gsize n_runs,
                  guint expected_ms,
-                 const Wish *request,
+                 const ResourceRequest *request,
                  gint64 valid_until_ms,
                  gpointer ctx);
   /* Asks the server's agent to offer free capacity; a @request of 0 tasks declines. */
-  void (*request_resources) (LeasedServer *server, const Wish *request, gpointer ctx);
+  void (*request_resources) (LeasedServer *server,
+                             const ResourceRequest *request,
+                             gpointer ctx);
   void (*stop) (LeasedServer *server, const RunKey *run, gpointer ctx);
   /* Schedules a call of dispatcher_pump (). */
   void (*pump) (gpointer ctx);
@@ -92,7 +94,7 @@
 typedef struct
 {
   guint server_lease_ms; /* how long a backend server lets runs go on without its agent */
-  const Closures *closures; /* borrowed; NULL: no zone is ever closed */
+  const ClosedZones *closures; /* borrowed; NULL: no zone is ever closed */
 } DispatcherInit;
 
 Dispatcher *
--- a/src/dispatcher_order.c
+++ b/src/dispatcher_order.c
@@ -266,7 +266,7 @@
 admission_job (const LeasedJob *job)
 {
   AdmissionJob admission = { .rank = job->rank,
-                             .rank_kept = base_rank (job),
+                             .rank_on_time = base_rank (job),
                              .rank_late = base_rank (job) / LATE_PART,
                              .work = waiting_work (job),
                              .task_ms = job->task_ms,
--- a/src/dispatcher_parts.h
+++ b/src/dispatcher_parts.h
@@ -4,8 +4,8 @@
  * dispatcher_requests.c: resource requests. */
 #include "arrivals.h"
 #include "dispatcher.h"
-#include "pace.h"
 #include "runtimes.h"
+#include "throttle.h"
 
 #include <sys/queue.h>
 
@@ -68,7 +68,7 @@
   gint64 lease_until;      /* agent's clock */
   gint64 backoff_until_ms; /* nothing is placed before this */
   guint delay_ms;          /* of frames sent to its agent */
-  Pace request_throttle;
+  Throttle request_throttle;
   gint64 requested_ms;   /* when the last resource request was sent */
   double requested_rank; /* of the job in that request */
   Demand placed;
@@ -175,10 +175,10 @@
 /* dispatcher_requests.c */
 
 /** dispatcher_resource_request - for the first job that still waits during placement. */
-Wish dispatcher_resource_request (const Dispatcher *dispatcher);
+ResourceRequest dispatcher_resource_request (const Dispatcher *dispatcher);
 
 /** server_note_resource_request - record that @request is sent to its agent. */
-void server_note_resource_request (LeasedServer *server, const Wish *request);
+void server_note_resource_request (LeasedServer *server, const ResourceRequest *request);
 
 /** server_is_offered_for_better - it is reserved for a job of lower rank than @rank. */
 gboolean server_is_offered_for_better (const LeasedServer *server, double rank);
--- a/src/dispatcher_place.c
+++ b/src/dispatcher_place.c
@@ -268,7 +268,7 @@
   RunKey *runs = g_new (RunKey, job->spec.count);
   gsize n = mark_ordered (job, server, reserved, runs);
   LeasedSpec spec = job->spec;
-  Wish request = dispatcher_resource_request (dispatcher);
+  ResourceRequest request = dispatcher_resource_request (dispatcher);
 
   if (n == 0)
     goto out;
@@ -358,7 +358,7 @@
       if (!server_is_open (server))
         continue;
       g_array_append_val (all, slowness);
-      if (pace_is_slowed (&server->request_throttle))
+      if (throttle_is_active (&server->request_throttle))
         slowed++;
       if (server->status.trust != TRUST_FULL)
         distrusted++;
--- a/src/dispatcher_requests.c
+++ b/src/dispatcher_requests.c
@@ -45,20 +45,20 @@
   return request_repeat_ms (dispatcher) * 4 / 3;
 }
 
-static Wish
+static ResourceRequest
 request_for (const LeasedJob *job)
 {
   Dispatcher *dispatcher = job->dispatcher;
-  Wish request = { dispatcher->n_waiting, job->waiting, job->rank, job->spec.demand,
-                   request_valid_ms (dispatcher) };
+  ResourceRequest request = { dispatcher->n_waiting, job->waiting, job->rank,
+                              job->spec.demand, request_valid_ms (dispatcher) };
 
   return request;
 }
 
-Wish
+ResourceRequest
 dispatcher_resource_request (const Dispatcher *dispatcher)
 {
-  Wish nothing = { .rank = RANK_INFEASIBLE };
+  ResourceRequest nothing = { .rank = RANK_INFEASIBLE };
 
   for (guint i = 0; i < dispatcher->ordered->len; i++)
     {
@@ -71,7 +71,7 @@
 }
 
 void
-server_note_resource_request (LeasedServer *server, const Wish *request)
+server_note_resource_request (LeasedServer *server, const ResourceRequest *request)
 {
   server->requested_ms = server->dispatcher->now_ms;
   server->requested_rank = request->rank;
@@ -101,7 +101,7 @@
   if (server_is_offered_for_better (server, rank)
       || server->requested_rank >= RANK_INFEASIBLE)
     return TRUE;
-  if (age_ms < pace_interval_ms (&server->request_throttle))
+  if (age_ms < throttle_interval_ms (&server->request_throttle))
     return FALSE;
   return age_ms >= request_repeat_ms (server->dispatcher)
          || rank < server->requested_rank * REQUEST_BETTER_FACTOR;
@@ -118,7 +118,7 @@
   TAILQ_FOREACH (server, &dispatcher->servers, link)
     {
       const LeasedJob *job;
-      Wish request;
+      ResourceRequest request;
 
       if (left == 0)
         return;
@@ -138,7 +138,7 @@
 void
 dispatcher_decline_offers (Dispatcher *dispatcher)
 {
-  const Wish nothing = { .rank = RANK_INFEASIBLE };
+  const ResourceRequest nothing = { .rank = RANK_INFEASIBLE };
   LeasedServer *server;
 
   TAILQ_FOREACH (server, &dispatcher->servers, link)
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -61,7 +61,7 @@
   server->user_data = user_data;
   server->inventoried = FALSE;
   server->delay_ms = 0;
-  server->request_throttle = pace_new (REQUEST_INTERVAL_MIN_MS);
+  server->request_throttle = throttle_new (REQUEST_INTERVAL_MIN_MS);
   return server;
 }
 
@@ -91,7 +91,7 @@
 dispatcher_server_delay (LeasedServer *server, guint delay_ms, gint64 now_ms)
 {
   server->delay_ms = delay_ms;
-  pace_hear (&server->request_throttle, delay_ms, now_ms);
+  throttle_on_delay (&server->request_throttle, delay_ms, now_ms);
 }
 
 void
@@ -401,11 +401,12 @@
 static void
 update_closed (LeasedServer *server)
 {
-  const Closures *closures = server->dispatcher->init.closures;
+  const ClosedZones *closures = server->dispatcher->init.closures;
   const char *zone = server->status.zone;
 
-  server->closed = server->status.closed
-                   || (closures != NULL && zone != NULL && closures_has (closures, zone));
+  server->closed
+      = server->status.closed
+        || (closures != NULL && zone != NULL && closed_zones_has (closures, zone));
 }
 
 void
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -40,7 +40,7 @@
   Demand room = *runner_capacity (agent->runner);
 
   demand_subtract (&room, runner_used (agent->runner));
-  offers_room (agent->offers, &room);
+  offers_set_free (agent->offers, &room);
 }
 
 /* The report of a start is not urgent: it goes with the next frame, often the one that
@@ -54,7 +54,7 @@
   if (report->kind != REPORT_STARTED && report->kind != REPORT_NOT_STARTED)
     {
       update_free_capacity (agent);
-      offers_freed (agent->offers, clock_now_ms ());
+      offers_capacity_freed (agent->offers, clock_now_ms ());
     }
   if (peer == NULL || peer->link == NULL)
     return;
@@ -95,11 +95,11 @@
 }
 
 static void
-on_no_room (guint64 entry, const Wish *resources, gpointer ctx)
+on_no_room (guint64 entry, const ResourceRequest *resources, gpointer ctx)
 {
   LeasedAgent *agent = ctx;
 
-  offers_refused (agent->offers, entry, resources, clock_now_ms ());
+  offers_request (agent->offers, entry, resources, clock_now_ms ());
 }
 
 static const RunnerOps runner_ops
@@ -142,7 +142,7 @@
 apply_zones (LeasedAgent *agent)
 {
   gboolean closed
-      = agent->zone != NULL && closures_has (agent->closed_zones, agent->zone);
+      = agent->zone != NULL && closed_zones_has (agent->closed_zones, agent->zone);
 
   runner_set_zone_closed (agent->runner, closed);
 }
@@ -157,7 +157,7 @@
 static void
 check_zones (LeasedAgent *agent, gint64 now)
 {
-  if (closures_age_ms (agent->closed_zones, now) < ZONES_STALE_MS
+  if (closed_zones_age_ms (agent->closed_zones, now) < ZONES_STALE_MS
       || now - agent->zones_lookup_ms < ZONES_LOOKUP_MS)
     return;
   agent->zones_lookup_ms = now;
@@ -171,7 +171,7 @@
                          .payload = order->payload,
                          .demand = demand_from_wire (order->demand),
                          .expected_ms = order->expected_ms,
-                         .resources = wish_from_wire (order->wish),
+                         .resources = resource_request_from_wire (order->wish),
                          .valid_until_ms = order->valid_until_ms };
   guint before = runner_count (agent->runner);
 
@@ -210,7 +210,7 @@
   gint64 now = clock_now_ms ();
 
   leased_agent_update_throttle (peer, now);
-  if (closures_hear (agent->closed_zones, frame, now))
+  if (closed_zones_from_frame (agent->closed_zones, frame, now))
     zones_changed (agent);
   if (frame->time != NULL && frame->time->granted_until_ms > 0)
     runner_extend_lease (agent->runner, peer->incarnation, frame->time->granted_until_ms);
@@ -318,7 +318,7 @@
   agent->changed = event_new (base, -1, 0, leased_agent_send_state, agent);
   agent->offer_timer = evtimer_new (base, leased_agent_expire_offers, agent);
   agent->offers = offers_new ();
-  agent->closed_zones = closures_new ();
+  agent->closed_zones = closed_zones_new ();
   agent->stats = figures_new (base);
   return agent;
 }
@@ -341,7 +341,7 @@
   event_free (agent->changed);
   event_free (agent->offer_timer);
   offers_free (agent->offers);
-  closures_free (agent->closed_zones);
+  closed_zones_free (agent->closed_zones);
   g_free (agent->hello.name);
   g_free (agent->hello.zone);
   g_free (agent->service);
@@ -410,12 +410,12 @@
                            gboolean whole,
                            guint64 version)
 {
-  if (closures_apply (agent->closed_zones, changes, n_changes, whole, version,
-                      clock_now_ms ()))
+  if (closed_zones_apply (agent->closed_zones, changes, n_changes, whole, version,
+                          clock_now_ms ()))
     zones_changed (agent);
 }
 
-const Closures *
+const ClosedZones *
 leased_agent_closed_zones (const LeasedAgent *agent)
 {
   return agent->closed_zones;
--- a/src/leased_agent.h
+++ b/src/leased_agent.h
@@ -1,7 +1,7 @@
 #pragma once
 /* Agent of the leased path: serves one backend server, links to the entries and starts
  * the tasks that they order on it. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "runner.h"
 #include "settings.h"
 
@@ -40,13 +40,13 @@
 void leased_agent_server_leaves (LeasedAgent *agent, const char *instance);
 
 /** leased_agent_update_zones - apply zone states read from the platform's table;
- * arguments as for closures_apply (). */
+ * arguments as for closed_zones_apply (). */
 void leased_agent_update_zones (LeasedAgent *agent,
                                 const ZoneChange *changes,
                                 gsize n_changes,
                                 gboolean whole,
                                 guint64 version);
-const Closures *leased_agent_closed_zones (const LeasedAgent *agent);
+const ClosedZones *leased_agent_closed_zones (const LeasedAgent *agent);
 
 /** leased_agent_learn - add an address at which an entry may be reached. */
 void leased_agent_learn (LeasedAgent *agent, const char *address);
--- a/src/leased_agent_parts.h
+++ b/src/leased_agent_parts.h
@@ -1,7 +1,7 @@
 #pragma once
 /* Shared by the agent's source files: leased_agent.c has its lifecycle and frames,
  * leased_agent_state.c sends the state of the backend server to the entries. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "figures.h"
 #include "leased_agent.h"
 #include "mesh.h"
@@ -21,7 +21,7 @@
   struct event *changed;
   struct event *offer_timer;
   Offers *offers;
-  Closures *closed_zones;
+  ClosedZones *closed_zones;
   gint64 zones_lookup_ms; /* last lookup on the platform */
   Figures *stats;
   gint64 mesh_ticked_ms;
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -1,6 +1,6 @@
 #include "clock.h"
 #include "leased_agent_parts.h"
-#include "pace.h"
+#include "throttle.h"
 
 #include <string.h>
 
@@ -28,7 +28,7 @@
 {
   State state;
   gint64 sent_ms;
-  Pace throttle;
+  Throttle throttle;
 } SentState;
 
 /* Rounded to steps of @step percent: each change is sent to all entries. */
@@ -43,7 +43,7 @@
 hide_reserved (const LeasedAgent *agent, guint64 entry, State *state)
 {
   Demand reserved = *runner_capacity (agent->runner);
-  Demand visible = offers_room_for (agent->offers, entry);
+  Demand visible = offers_available_to (agent->offers, entry);
 
   demand_subtract (&reserved, runner_used (agent->runner));
   demand_subtract (&reserved, &visible);
@@ -54,7 +54,7 @@
 state_for (const LeasedAgent *agent, const MeshPeer *peer)
 {
   guint64 entry = peer->incarnation;
-  const Quality *health = runner_server_health (agent->runner);
+  const ServerHealth *health = runner_server_health (agent->runner);
   State state;
 
   memset (&state, 0, sizeof state);
@@ -66,7 +66,7 @@
   state.failing_percent = percent_in_steps (health->failing, 20);
   state.capacity = *runner_capacity (agent->runner);
   state.used_by_others = runner_used_by_others (agent->runner, entry);
-  state.offered = offers_keep (agent->offers, entry);
+  state.offered = offers_is_reserved_for (agent->offers, entry);
   hide_reserved (agent, entry, &state);
   return state;
 }
@@ -112,7 +112,7 @@
 {
   if (sent == NULL || state->offered)
     return 0;
-  return sent->sent_ms + pace_interval_ms (&sent->throttle) - now_ms;
+  return sent->sent_ms + throttle_interval_ms (&sent->throttle) - now_ms;
 }
 
 void
@@ -121,7 +121,7 @@
   SentState *sent = peer->data;
 
   if (sent != NULL)
-    pace_hear (&sent->throttle, peer->told_late_ms, now_ms);
+    throttle_on_delay (&sent->throttle, peer->told_late_ms, now_ms);
 }
 
 void
@@ -178,7 +178,7 @@
   if (sent == NULL)
     {
       peer->data = sent = g_new0 (SentState, 1);
-      sent->throttle = pace_new (STATE_MIN_INTERVAL_MS);
+      sent->throttle = throttle_new (STATE_MIN_INTERVAL_MS);
     }
   sent->state = now;
   sent->sent_ms = clock_now_ms ();
@@ -207,6 +207,6 @@
 {
   LeasedAgent *agent = ctx;
 
-  closures_tell (agent->closed_zones, &peer->closures, 0, frame, clock_now_ms ());
+  closed_zones_to_frame (agent->closed_zones, &peer->closures, 0, frame, clock_now_ms ());
   put_state (agent, peer, frame);
 }
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -34,7 +34,7 @@
           const RunKey *runs,
           gsize n_runs,
           guint expected_ms,
-          const Wish *resources,
+          const ResourceRequest *resources,
           gint64 valid_until_ms,
           gpointer ctx)
 {
@@ -46,7 +46,7 @@
   order->payload = g_strdup (spec->payload);
   order->valid_until_ms = valid_until_ms;
   order->expected_ms = expected_ms;
-  order->wish = wish_to_wire (resources);
+  order->wish = resource_request_to_wire (resources);
   order->demand = g_new (Gw__Demand, 1);
   demand_to_wire (&spec->demand, order->demand);
   order->n_runs = n_runs;
@@ -58,13 +58,15 @@
 }
 
 static void
-on_request_resources (LeasedServer *server, const Wish *resources, gpointer ctx)
+on_request_resources (LeasedServer *server,
+                      const ResourceRequest *resources,
+                      gpointer ctx)
 {
   MeshPeer *peer = leased_server_user_data (server);
   Gw__RunOrder *order = g_new (Gw__RunOrder, 1);
 
   gw__run_order__init (order);
-  order->wish = wish_to_wire (resources);
+  order->wish = resource_request_to_wire (resources);
   counter_add (COUNTER_WISHES_SENT, 1);
   link_append (peer->link, LINK_RUN_ORDERS, &order->base);
 }
@@ -322,7 +324,7 @@
   fill_hello (entry, settings);
   entry->mesh = mesh_new (&mesh, &mesh_ops, entry);
   mesh_seed (entry->mesh, settings->peers);
-  entry->closed_zones = closures_new ();
+  entry->closed_zones = closed_zones_new ();
   dispatcher.closures = entry->closed_zones;
   entry->dispatcher = dispatcher_new (&dispatcher, &dispatcher_ops, entry);
   entry->tick = event_new (base, -1, EV_PERSIST, on_tick, entry);
@@ -340,7 +342,7 @@
   listen_free (entry->frames);
   dispatcher_free (entry->dispatcher);
   mesh_free (entry->mesh);
-  closures_free (entry->closed_zones);
+  closed_zones_free (entry->closed_zones);
   catalog_unref (entry->catalog);
   event_free (entry->tick);
   event_free (entry->pump);
--- a/src/leased_entry.h
+++ b/src/leased_entry.h
@@ -4,7 +4,7 @@
  * configuration, addresses and closed zones, so that the loss of one affects only its own
  * callers. */
 #include "catalog.h"
-#include "closures.h"
+#include "closed_zones.h"
 #include "dispatcher.h"
 #include "settings.h"
 
@@ -59,13 +59,13 @@
 Catalog *leased_entry_catalog (const LeasedEntry *entry);
 
 /** leased_entry_update_zones - apply zone states read from the platform's table;
- * arguments as for closures_apply (). */
+ * arguments as for closed_zones_apply (). */
 void leased_entry_update_zones (LeasedEntry *entry,
                                 const ZoneChange *changes,
                                 gsize n_changes,
                                 gboolean whole,
                                 guint64 version);
-const Closures *leased_entry_closed_zones (const LeasedEntry *entry);
+const ClosedZones *leased_entry_closed_zones (const LeasedEntry *entry);
 
 /** leased_entry_learn - add an address at which an entry may be reached. */
 void leased_entry_learn (LeasedEntry *entry, const char *address);
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -2,7 +2,7 @@
 /* Shared by the entry's source files: leased_entry.c has its lifecycle and the frames to
  * and from agents, leased_entry_config.c the exchange of the configuration among entries,
  * leased_entry_zones.c the closed availability zones. */
-#include "closures.h"
+#include "closed_zones.h"
 #include "figures.h"
 #include "leased_entry.h"
 #include "listen.h"
@@ -25,7 +25,7 @@
   Dispatcher *dispatcher;
   Catalog *catalog;
   Spread config_pull;
-  Closures *closed_zones;
+  ClosedZones *closed_zones;
   struct event *tick;
   struct event *pump;
   Figures *stats;
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -1,8 +1,8 @@
 #pragma once
 /* The links among entries and agents of leased jobs, found without any list: from a few
  * seed addresses, from what linked entries tell, and from a directory when both fail. */
-#include "closures.h"
-#include "lateness.h"
+#include "closed_zones.h"
+#include "frame_delay.h"
 #include "link.h"
 #include "peer_clock.h"
 
@@ -21,7 +21,7 @@
   gboolean is_entry;
   Link *link; /* NULL while it is not linked */
   PeerClock clock;
-  Lateness heard;       /* how late its frames come here */
+  FrameDelay heard;     /* how late its frames come here */
   guint told_late_ms;   /* how late ours come there, as it says */
   gint64 granted_until; /* its clock: the longest lease it was given */
   gint64 lost_ms;       /* since when it is not linked */
@@ -33,8 +33,8 @@
   guint64 config_sent;    /* last sent to it */
   guint64 config_wanted;  /* to be asked for with the next frame; 0: nothing */
   gint64 config_asked_ms; /* when it was last asked for one; 0: never */
-  ClosuresTold closures;  /* what it has been told of closed zones */
-  gpointer data;          /* the owner's record */
+  ClosedZonesSent closures; /* what it has been told of closed zones */
+  gpointer data;            /* the owner's record */
 } MeshPeer;
 
 typedef struct
--- a/src/runner.c
+++ b/src/runner.c
@@ -312,7 +312,7 @@
 
   if (runner->n_runs == 0)
     runner->server_health.stalls = 0;
-  quality_tick (&runner->server_health, runner->now_ms);
+  server_health_tick (&runner->server_health, runner->now_ms);
   if (runner->server_health.trust != before)
     runner->ops->changed (runner->ctx);
 }
@@ -343,7 +343,7 @@
     runner_send_reconcile (runner);
   if (poll_is_due (runner))
     runner_send_poll (runner);
-  watches_check (&runner->long_polls, now_ms);
+  long_polls_check (&runner->long_polls, now_ms);
   runner_send_long_poll (runner);
 }
 
@@ -399,7 +399,7 @@
   return &runner->capacity;
 }
 
-const Quality *
+const ServerHealth *
 runner_server_health (const Runner *runner)
 {
   return &runner->server_health;
--- a/src/runner.h
+++ b/src/runner.h
@@ -3,9 +3,9 @@
  * server within its capacity, renews its lease, fences unanswered starts, and stops runs
  * whose entry no longer extends their lease. No I/O of its own: calls go through
  * ServerCalls, the time is handed in. */
-#include "quality.h"
+#include "resource_request.h"
 #include "server_calls.h"
-#include "wish.h"
+#include "server_health.h"
 
 typedef struct Runner Runner;
 
@@ -35,9 +35,9 @@
   RunKey key;
   const char *payload;
   Demand demand;
-  guint expected_ms;     /* its run time */
-  Wish resources;        /* what else waits at that entry */
-  gint64 valid_until_ms; /* own clock; later it is refused */
+  guint expected_ms;         /* its run time */
+  ResourceRequest resources; /* what else waits at that entry */
+  gint64 valid_until_ms;     /* own clock; later it is refused */
 } RunRequest;
 
 /* The backend server's own heartbeat report. */
@@ -65,7 +65,7 @@
                      guint elsewhere_ms,
                      gpointer ctx);
   /* A start of @entry was refused for lack of free capacity. */
-  void (*no_room) (guint64 entry, const Wish *resources, gpointer ctx);
+  void (*no_room) (guint64 entry, const ResourceRequest *resources, gpointer ctx);
   /* Readiness, capacity or use have changed. */
   void (*changed) (gpointer ctx);
 } RunnerOps;
@@ -112,7 +112,7 @@
 guint runner_count (const Runner *runner);
 const char *runner_instance (const Runner *runner);
 const Demand *runner_capacity (const Runner *runner);
-const Quality *runner_server_health (const Runner *runner);
+const ServerHealth *runner_server_health (const Runner *runner);
 
 const Demand *runner_used (const Runner *runner);
 
--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -96,7 +96,7 @@
   runner->now_ms = reply->now_ms;
   runner->unanswered = reply->end == CALL_UNANSWERED ? runner->unanswered + 1 : 0;
   if (reply->end == CALL_UNANSWERED)
-    watches_lost (&runner->long_polls, runner->now_ms);
+    long_polls_lost (&runner->long_polls, runner->now_ms);
   if (reply->end != CALL_UNANSWERED && cookie->long_poll == 0)
     runner->call_ms
         += CALL_TIME_RATE * (reply->now_ms - cookie->sent_ms - runner->call_ms);
@@ -134,7 +134,7 @@
 static void
 run_start_lost (Runner *runner, Run *run, const char *reason)
 {
-  quality_astray (&runner->server_health, runner->now_ms);
+  server_health_start_lost (&runner->server_health, runner->now_ms);
   run_end (runner, run, REPORT_NOT_STARTED, reason);
 }
 
@@ -330,7 +330,7 @@
   Cookie *cookie = data;
 
   if (cookie->instance_count == runner->instance_count && cookie->long_poll != 0)
-    watches_ended (&runner->long_polls, cookie->long_poll);
+    long_polls_ended (&runner->long_polls, cookie->long_poll);
   if (cookie->instance_count == runner->instance_count && cookie->reconcile)
     runner->reconciling = FALSE;
   if (!take_reply (runner, reply, cookie))
@@ -344,14 +344,14 @@
     }
   runner->listed_ms = runner->now_ms;
   if (take_ends (runner, reply))
-    watches_saw_end (&runner->long_polls, runner->now_ms);
+    long_polls_expect_end (&runner->long_polls, runner->now_ms);
   runner_take_progress (runner, reply);
   if (cookie->reconcile && runner->state == INSTANCE_CLEARING
       && cookie->token == runner->token)
     stop_unknown_runs (runner, reply);
   else if (cookie->reconcile)
     resolve_starts (runner, reply, cookie->token);
-  watches_check (&runner->long_polls, runner->now_ms);
+  long_polls_check (&runner->long_polls, runner->now_ms);
   runner_send_long_poll (runner);
 
 out:
@@ -361,7 +361,7 @@
 static void
 send_long_poll (Runner *runner, guint64 number)
 {
-  guint wait_ms = watches_wait_ms (&runner->long_polls, runner->now_ms);
+  guint wait_ms = long_polls_wait_ms (&runner->long_polls, runner->now_ms);
   Cookie *cookie = cookie_new (runner);
   ServerCall call
       = server_call (runner, wait_ms + LONG_POLL_ANSWER_MS, on_hold_reply, cookie);
@@ -379,9 +379,10 @@
 
   if (runner->state == INSTANCE_UNKNOWN)
     return;
-  while ((number = watches_next (&runner->long_polls,
+  while (
+      (number = long_polls_next (&runner->long_polls,
                                  runner_server_is_unresponsive (runner), runner->now_ms))
-         != 0)
+      != 0)
     send_long_poll (runner, number);
 }
 
--- a/src/runner_instance.c
+++ b/src/runner_instance.c
@@ -36,7 +36,7 @@
   runner_lose_all (runner, kind, reason);
   remember_instance (runner, g_steal_pointer (&runner->instance));
   runner->instance_count++;
-  watches_forget (&runner->long_polls);
+  long_polls_reset (&runner->long_polls);
   runner->reconciling = FALSE;
   runner_set_state (runner, INSTANCE_UNKNOWN);
 }
@@ -88,7 +88,7 @@
   runner->ends_seen = 0;
   runner->unanswered = 0;
   set_cold (runner, FALSE);
-  quality_init (&runner->server_health);
+  server_health_init (&runner->server_health);
   runner->server_lease_until = 0;
   memset (&runner->clock, 0, sizeof runner->clock);
   runner_set_state (runner, INSTANCE_CLEARING);
--- a/src/runner_parts.h
+++ b/src/runner_parts.h
@@ -2,9 +2,9 @@
 /* Shared by the source files of the runner. runner.c keeps the runs and decides,
  * runner_instance.c follows the instances of the backend server, runner_calls.c makes the
  * calls and handles their answers, runner_progress.c rates the server by them. */
+#include "long_polls.h"
 #include "peer_clock.h"
 #include "runner.h"
-#include "watches.h"
 
 #include <sys/queue.h>
 
@@ -84,14 +84,14 @@
   double call_ms;   /* mean answer time */
   gint64 now_ms;    /* of the call that is being handled */
   Demand capacity;
-  Quality server_health;
+  ServerHealth server_health;
   gboolean server_draining;
   gint64 cold_until_ms; /* by its own report it runs slower until then */
   gboolean cold;
   double other_slowness; /* slowness when warm while it is cold, and the reverse */
   gboolean draining;
   gboolean zone_closed;
-  Watches long_polls;
+  LongPolls long_polls;
   gboolean reconciling; /* a reconciling call is under way */
 };
 
--- a/src/runner_progress.c
+++ b/src/runner_progress.c
@@ -25,9 +25,9 @@
   if (!failed)
     histogram_observe (HISTOGRAM_RUN, (gint64)elapsed);
   if (!failed && !run->rated)
-    quality_slow (&runner->server_health, elapsed / run->expected_ms);
+    server_health_run_slow (&runner->server_health, elapsed / run->expected_ms);
   run->rated = TRUE;
-  quality_ended (&runner->server_health, failed, runner->now_ms);
+  server_health_run_ended (&runner->server_health, failed, runner->now_ms);
   if (runner->server_health.trust != before)
     event_note ("server-trust", "-", "server=%s trust=%d before=%d failing=%.2f",
                 runner->instance, runner->server_health.trust, before,
@@ -92,7 +92,7 @@
   if (run->rated || whole_ms == 0)
     return;
   run->rated = TRUE;
-  quality_slow (&runner->server_health, whole_ms / run->expected_ms);
+  server_health_run_slow (&runner->server_health, whole_ms / run->expected_ms);
 }
 
 static void
@@ -125,7 +125,7 @@
         moving++;
       report_straggler (runner, run);
     }
-  quality_looked (&runner->server_health, stalled, moving, runner->now_ms);
+  server_health_progress (&runner->server_health, stalled, moving, runner->now_ms);
   if (runner->server_health.trust == before)
     return;
   event_note ("server-trust", "-", "server=%s trust=%d before=%d stalled=%u moving=%u",
--- a/tests/load_replay.c
+++ b/tests/load_replay.c
@@ -44,7 +44,7 @@
           const RunKey *runs,
           gsize n_runs,
           guint expected_ms,
-          const Wish *wish,
+          const ResourceRequest *wish,
           gint64 valid_until_ms,
           gpointer ctx)
 {
@@ -67,7 +67,7 @@
 }
 
 static void
-on_want (LeasedServer *server, const Wish *wish, gpointer ctx)
+on_want (LeasedServer *server, const ResourceRequest *wish, gpointer ctx)
 {
   Entry *entry = ctx;
   Replay *replay = entry->replay;
@@ -188,7 +188,7 @@
       break;
     case EVENT_WANTED:
       link_heard_by_agent (replay, event);
-      offers_refused (event->server->offers, event->entry->index + 1, &event->wish,
+      offers_request (event->server->offers, event->entry->index + 1, &event->wish,
                       replay->now);
       agent_changed (replay, event->server);
       break;
--- a/tests/test-dispatcher.c
+++ b/tests/test-dispatcher.c
@@ -48,7 +48,7 @@
           const RunKey *runs,
           gsize n_runs,
           guint expected_ms,
-          const Wish *request,
+          const ResourceRequest *request,
           gint64 valid_until_ms,
           gpointer ctx)
 {
@@ -68,7 +68,7 @@
 }
 
 static void
-on_request_resources (LeasedServer *server, const Wish *request, gpointer ctx)
+on_request_resources (LeasedServer *server, const ResourceRequest *request, gpointer ctx)
 {
   Scene *scene = ctx;
 
