--- a/src/backends.c
+++ b/src/backends.c
@@ -275,7 +275,7 @@
 }
 
 void
-backends_load (Backend *backend, const Gw__Load *load)
+backends_update_load (Backend *backend, const Gw__Load *load)
 {
   backend->others = load->busy;
   backend->info->slots = load->slots;
--- a/src/backends.h
+++ b/src/backends.h
@@ -87,7 +87,7 @@
 
 /** backends_find - the record of this very incarnation, NULL if there is none. */
 Backend *backends_find (Backends *backends, const Gw__Backend *info);
-void backends_load (Backend *backend, const Gw__Load *load);
+void backends_update_load (Backend *backend, const Gw__Load *load);
 
 /** backends_announce - a backend server without an agent announced itself. */
 void backends_announce (Backends *backends, const Gw__Backend *info);
--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -32,7 +32,7 @@
       g_hash_table_replace (entry->roster_acks,
                             entry_ack_key (member->incarnation, ack->group),
                             g_memdup2 (&ack->version, sizeof ack->version));
-      home_free_slots (entry->home, backends_group (entry->backends, ack->group));
+      home_slots_freed (entry->home, backends_group (entry->backends, ack->group));
     }
 }
 
@@ -118,7 +118,7 @@
   Backend *sender = backend != NULL ? backend : settled_backend (entry, link);
 
   if (backend != NULL && frame->load != NULL)
-    backends_load (backend, frame->load);
+    backends_update_load (backend, frame->load);
   for (gsize i = 0; i < frame->n_outcomes; i++)
     take_agent_outcome (entry, link, sender, frame->outcomes[i]);
   for (gsize i = 0; i < frame->n_fence_replies; i++)
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -223,7 +223,7 @@
   Entry *entry = ctx;
 
   if (entry->home != NULL)
-    home_free_slots (entry->home, group);
+    home_slots_freed (entry->home, group);
 }
 
 static Gw__Roster *
@@ -271,7 +271,7 @@
 {
   Entry *entry = ctx;
 
-  home_backend_gone (entry->home, backend);
+  home_backend_lost (entry->home, backend);
 }
 
 static void
--- a/src/home.h
+++ b/src/home.h
@@ -47,11 +47,11 @@
 void home_take_frame (Home *home, guint64 holder, const Gw__Frame *frame);
 
 void home_backend_reached (Home *home, Backend *backend);
-void home_backend_gone (Home *home, Backend *backend);
+void home_backend_lost (Home *home, Backend *backend);
 
 /** home_backend_moved - it leaves the roster of the group it was in. */
 void home_backend_moved (Home *home, Backend *backend);
-void home_free_slots (Home *home, BackendGroup *group);
+void home_slots_freed (Home *home, BackendGroup *group);
 
 /** home_holder_lost - the holder's incarnation is given up: nothing of it starts anymore.
  */
--- a/src/home_dispatch.c
+++ b/src/home_dispatch.c
@@ -181,7 +181,7 @@
 }
 
 void
-home_free_slots (Home *home, BackendGroup *backends)
+home_slots_freed (Home *home, BackendGroup *backends)
 {
   HomeGroup *group = g_hash_table_lookup (home->groups, backends->name);
 
--- a/src/home_owners.c
+++ b/src/home_owners.c
@@ -108,7 +108,7 @@
       mine = TRUE;
       take_fence_answer (task, started_attempt (reply, task->index));
     }
-  home_free_slots (home, backend->group);
+  home_slots_freed (home, backend->group);
   return mine;
 }
 
@@ -132,7 +132,7 @@
 }
 
 void
-home_backend_gone (Home *home, Backend *backend)
+home_backend_lost (Home *home, Backend *backend)
 {
   PlacedList *list = home_placed_list (home, backend);
   HomeTask *task;
--- a/tests/home_scene.c
+++ b/tests/home_scene.c
@@ -58,7 +58,7 @@
 {
   Scene *scene = ctx;
 
-  home_free_slots (scene->home, group);
+  home_slots_freed (scene->home, group);
 }
 
 static void
@@ -79,7 +79,7 @@
 {
   Scene *scene = ctx;
 
-  home_backend_gone (scene->home, backend);
+  home_backend_lost (scene->home, backend);
 }
 
 static void
--- a/tests/test-home.c
+++ b/tests/test-home.c
@@ -115,12 +115,12 @@
   first = g_array_index (scene->started, guint32, 0);
   scene->holder_silent = TRUE;
   backend->info->slots = SLOTS;
-  home_free_slots (scene->home, backend->group);
+  home_slots_freed (scene->home, backend->group);
   scene_owner_says (scene, 0, first, GW__OUTCOME__KIND__NOT_RUN,
                     GW__OUTCOME__REASON__BUSY);
   backend->hold_ms = 0;
   g_array_set_size (scene->started, 0);
-  home_free_slots (scene->home, backend->group);
+  home_slots_freed (scene->home, backend->group);
   g_assert_cmpuint (backend->placed, ==, 0);
   scene->holder_silent = FALSE;
   home_tick (scene->home, clock_now_ms ());
@@ -153,7 +153,7 @@
       scene_owner_says (scene, 0, ATTEMPT_MAKE (1, placements),
                         GW__OUTCOME__KIND__NOT_RUN, GW__OUTCOME__REASON__BUSY);
       backend->hold_ms = 0;
-      home_free_slots (scene->home, backend->group);
+      home_slots_freed (scene->home, backend->group);
     }
   g_assert_cmpuint (placements, ==, G_MAXUINT16);
   g_assert_cmpint (scene_told (scene, 0)->kind, ==, GW__OUTCOME__KIND__NOT_RUN);
