--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -102,7 +102,7 @@
   test-home /home/refused-while-held
 mutant attempts-wrap src/home_dispatch.c 'if (job->placements == G_MAXUINT16)' 'if (FALSE)' \
   test-home /home/attempts-used-up
-mutant outcomes-kept-back src/home_owners.c 'if (task->outcome != NULL && !task->told && !task->job->orphan)' \
+mutant outcomes-kept-back src/home_owners.c 'if (task->outcome != NULL && !task->reported && !task->job->orphan)' \
   'if (FALSE)' test-once /once/owner-then-home
 mutant claims-unpaced src/claims.c 'if (now < due)' 'if (FALSE)' test-keys /keys/paced
 mutant waits-in-lost-group src/holder_outcomes.c 'group_stands (holder, from) ? from->group : NULL' \
--- a/src/backends.c
+++ b/src/backends.c
@@ -85,10 +85,10 @@
   return backends->groups;
 }
 
-typedef gboolean (*BackendTest) (const Backend *backend, gconstpointer what);
+typedef gboolean (*BackendTest) (const Backend *backend, gconstpointer data);
 
 static Backend *
-first_that (const Backends *backends, BackendTest test, gconstpointer what)
+find_first (const Backends *backends, BackendTest test, gconstpointer data)
 {
   GHashTableIter iter;
   BackendGroup *group;
@@ -97,7 +97,7 @@
   g_hash_table_iter_init (&iter, backends->groups);
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&group))
     TAILQ_FOREACH (backend, &group->list, link_entry)
-      if (test (backend, what))
+      if (test (backend, data))
         return backend;
   return NULL;
 }
@@ -111,7 +111,7 @@
 static Backend *
 find_backend (Backends *backends, const char *name)
 {
-  return first_that (backends, is_named, name);
+  return find_first (backends, is_named, name);
 }
 
 Backend *
@@ -132,14 +132,14 @@
 }
 
 static void
-backend_gone (Backend *backend)
+backend_lost (Backend *backend)
 {
   Backends *backends = backend->backends;
   BackendGroup *group = backend->group;
 
-  log_notice ("backend server %s is gone", backend->info->name);
+  log_notice ("backend server %s is lost", backend->info->name);
   timeline_add ("backend-gone", NULL, -1, backend->info->name);
-  backends->ops->gone (backend, backends->ctx);
+  backends->ops->lost (backend, backends->ctx);
   backend_free (backend);
   roster_changed (backends, group);
 }
@@ -154,7 +154,7 @@
     return;
   backend->drained = drained;
   log_notice ("backend server %s is %s", backend->info->name,
-              drained ? "drained" : "back from its drain");
+              drained ? "drained" : "no longer drained");
 }
 
 static Backend *
@@ -174,25 +174,25 @@
   TAILQ_INSERT_TAIL (&group->list, backend, link_entry);
   group->size++;
   set_drained (backend);
-  log_notice ("backend server %s of %s with %u slots", info->name, group->name,
+  log_notice ("backend server %s joined %s with %u slots", info->name, group->name,
               info->slots);
   timeline_add ("backend-up", NULL, -1, info->name);
   g_free (name);
   return backend;
 }
 
-/* Return: the record for this incarnation, fresh if there was none. */
+/* Return: the record of this incarnation, created if there was none. */
 static Backend *
 backend_ensure (Backends *backends, const Gw__Backend *info)
 {
   Backend *backend = find_backend (backends, info->name);
 
-  /* A restarted owner knows nothing of the tasks its predecessor was handed. */
+  /* A restarted slot owner knows nothing of the tasks of its previous incarnation. */
   if (backend != NULL
       && (backend->info->incarnation != info->incarnation
           || strcmp (backend->info->service, info->service) != 0))
     {
-      backend_gone (backend);
+      backend_lost (backend);
       backend = NULL;
     }
   if (backend == NULL)
@@ -228,7 +228,7 @@
   backend->lost_ms = 0;
   if (again)
     backends->ops->reached (backend, backends->ctx);
-  backends->ops->free_slots (backend->group, backends->ctx);
+  backends->ops->slots_freed (backend->group, backends->ctx);
 }
 
 static gboolean
@@ -240,7 +240,7 @@
 Backend *
 backends_of_link (Backends *backends, const Link *link)
 {
-  return first_that (backends, is_linked_by, link);
+  return find_first (backends, is_linked_by, link);
 }
 
 static void
@@ -263,14 +263,14 @@
     {
       g_clear_pointer (&backend->link, link_unref);
       backend->lost_ms = clock_now_ms ();
-      log_info ("link to the agent of %s %s", backend->info->name, link_end_name (end));
+      log_info ("link to the agent of %s: %s", backend->info->name, link_end_name (end));
       /* Dialing either reaches it again or proves it dead at once. */
       backend_dial (backend);
       return TRUE;
     }
   g_clear_pointer (&backend->dialing, link_unref);
   if (end == LINK_REFUSED && backend->link == NULL)
-    backend_gone (backend);
+    backend_lost (backend);
   return TRUE;
 }
 
@@ -286,11 +286,11 @@
                   load->leaving ? "is leaving" : "is back");
       timeline_add ("backend-leaving", NULL, -1, backend->info->name);
     }
-  backend->backends->ops->free_slots (backend->group, backend->backends->ctx);
+  backend->backends->ops->slots_freed (backend->group, backend->backends->ctx);
 }
 
 static void
-on_executor_tell (const OwnerTask *task, gpointer ctx)
+on_executor_report (const OwnerTask *task, gpointer ctx)
 {
   Backend *backend = ctx;
 
@@ -305,7 +305,7 @@
                         MAX (backend->info->connections, 1) };
 
   backend->executor
-      = executor_new (backend->backends->init.base, &init, on_executor_tell, backend);
+      = executor_new (backend->backends->init.base, &init, on_executor_report, backend);
 }
 
 void
@@ -320,11 +320,11 @@
   backend->announced_ms = clock_now_ms ();
   backend->leaving = info->leaving;
   owner_set_slots (executor_owner (backend->executor), info->slots);
-  backends->ops->free_slots (backend->group, backends->ctx);
+  backends->ops->slots_freed (backend->group, backends->ctx);
 }
 
 static char *
-wanted_group (const Backend *backend)
+configured_group (const Backend *backend)
 {
   const Fleet *fleet = backend->backends->ops->fleet (backend->backends->ctx);
 
@@ -333,12 +333,12 @@
 }
 
 static void
-set_moving (Backend *backend)
+update_moving (Backend *backend)
 {
-  char *wanted = wanted_group (backend);
+  char *name = configured_group (backend);
 
-  backend->moving = strcmp (wanted, backend->group->name) != 0;
-  g_free (wanted);
+  backend->moving = strcmp (name, backend->group->name) != 0;
+  g_free (name);
 }
 
 static void
@@ -346,8 +346,8 @@
 {
   Backends *backends = backend->backends;
   BackendGroup *from = backend->group;
-  char *wanted = wanted_group (backend);
-  BackendGroup *to = backends_group (backends, wanted);
+  char *name = configured_group (backend);
+  BackendGroup *to = backends_group (backends, name);
 
   TAILQ_REMOVE (&from->list, backend, link_entry);
   from->size--;
@@ -356,13 +356,13 @@
   backend->group = to;
   backend->moving = FALSE;
   backend->since_version = to->roster_version + 1;
-  log_notice ("backend server %s is of %s now", backend->info->name, to->name);
+  log_notice ("backend server %s moved to %s", backend->info->name, to->name);
   timeline_add ("backend-moved", NULL, -1, backend->info->name);
   backends->ops->moved (backend, backends->ctx);
   roster_changed (backends, from);
   roster_changed (backends, to);
-  backends->ops->free_slots (to, backends->ctx);
-  g_free (wanted);
+  backends->ops->slots_freed (to, backends->ctx);
+  g_free (name);
 }
 
 static gboolean
@@ -371,15 +371,15 @@
   return backend->moving && backend->placed == 0;
 }
 
-/* A task's home is the home of its group: a backend server changes groups only once its
- * old home has nothing under way there. Other entries have placed nothing and move it at
- * once; its slots are counted by its owner whoever asks. */
+/* A task's home is the home of its group, so a backend server changes groups only once
+ * its old home has nothing under way there. Other entries have placed nothing and move it
+ * at once; its slot owner limits the running tasks whichever home places them. */
 static void
 move_idle (Backends *backends)
 {
   Backend *backend;
 
-  while ((backend = first_that (backends, may_move, NULL)) != NULL)
+  while ((backend = find_first (backends, may_move, NULL)) != NULL)
     backend_move (backend);
 }
 
@@ -396,17 +396,17 @@
       TAILQ_FOREACH (backend, &group->list, link_entry)
         {
           set_drained (backend);
-          set_moving (backend);
+          update_moving (backend);
         }
-      backends->ops->free_slots (group, backends->ctx);
+      backends->ops->slots_freed (group, backends->ctx);
     }
   move_idle (backends);
 }
 
-/* A backend server without an agent that stops announcing gets no new work; it is
- * forgotten once what runs there has ended. */
+/* A backend server without an agent that stops announcing itself gets no new tasks.
+ * Return: whether its running tasks have ended too, so that it can be removed. */
 static gboolean
-announcement_lapsed (Backend *backend, gint64 now_ms)
+announcement_expired (Backend *backend, gint64 now_ms)
 {
   if (backend->executor == NULL)
     return FALSE;
@@ -434,8 +434,8 @@
   for (backend = TAILQ_FIRST (&group->list); backend != NULL; backend = next)
     {
       next = TAILQ_NEXT (backend, link_entry);
-      if (announcement_lapsed (backend, now_ms) || agent_lost (backend, now_ms))
-        backend_gone (backend);
+      if (announcement_expired (backend, now_ms) || agent_lost (backend, now_ms))
+        backend_lost (backend);
       else if (backend->lost_ms > 0 && (now_ms - backend->lost_ms) % REDIAL_MS < 50)
         backend_dial (backend);
     }
@@ -451,7 +451,7 @@
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&group))
     {
       group_tick (group, now_ms);
-      backends->ops->free_slots (group, backends->ctx);
+      backends->ops->slots_freed (group, backends->ctx);
     }
   move_idle (backends);
 }
--- a/src/backends.h
+++ b/src/backends.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The backend servers this entry knows: who owns their slots, how many are free, whether
- * they are reachable, leaving, drained, slow or failing. */
+/* The backend servers this entry knows: their slot owners, free slots and health, and
+ * whether they are reachable, leaving or drained. */
 #include "executor.h"
 #include "fleet.h"
 #include "health.h"
@@ -19,21 +19,21 @@
   Backends *backends;
   BackendGroup *group;
   Gw__Backend *info;
-  Link *link;         /* to its agent; NULL while out of reach */
-  Link *dialing;      /* to prove it dead or reach it again */
-  Executor *executor; /* where no agent stands */
-  guint placed;       /* tasks handed to its slots by this entry */
-  guint others;       /* tasks that run there for others */
+  Link *link;         /* to its agent; NULL while unreachable */
+  Link *dialing;      /* reaches the agent again or proves it dead */
+  Executor *executor; /* if it has no agent */
+  guint placed;       /* tasks placed on its slots by this entry */
+  guint others;       /* tasks placed there by other entries */
   gboolean leaving;
   gboolean drained;
-  gboolean moving; /* to another group, once nothing it was handed here is under way */
-  gint64 lost_ms;  /* since when its agent is out of reach; 0: it is not */
-  gint64 announced_ms;   /* last announcement over HTTP */
-  gint64 hold_ms;        /* nothing is placed before this time */
-  guint64 since_version; /* roster version that first names it */
+  gboolean moving;         /* to another group, once no task placed here is under way */
+  gint64 lost_ms;          /* since when its agent is unreachable; 0: it is not */
+  gint64 announced_ms;     /* last announcement over HTTP */
+  gint64 backoff_until_ms; /* placement is suspended until then */
+  guint64 since_version;   /* roster version that first names it */
   Health health;
-  double slowness;
-  guint answered;
+  double slowness; /* run times over the expected ones; 1: as expected */
+  guint answered;  /* observed outcomes */
   guint failed;
 } Backend;
 
@@ -50,18 +50,18 @@
 typedef struct
 {
   /* Slots may have become free. */
-  void (*free_slots) (BackendGroup *group, gpointer ctx);
+  void (*slots_freed) (BackendGroup *group, gpointer ctx);
   /* The group's roster has changed. */
   void (*roster) (BackendGroup *group, gpointer ctx);
-  /* The agent is reached again under the same incarnation: ask what became of its tasks.
-   */
+  /* The agent is linked again under the same incarnation: its placed tasks must be
+   * checked. */
   void (*reached) (Backend *backend, gpointer ctx);
-  /* The slot owner is gone: what ran there may have run. Called before the roster
+  /* The slot owner is lost; tasks placed there may have run. Called before the roster
    * changes. */
-  void (*gone) (Backend *backend, gpointer ctx);
-  /* The backend server is of another group now. Called before the rosters change. */
+  void (*lost) (Backend *backend, gpointer ctx);
+  /* The backend server has changed its group. Called before the rosters change. */
   void (*moved) (Backend *backend, gpointer ctx);
-  /* An executor in this process tells an outcome. */
+  /* An executor in this process reports an outcome. */
   void (*outcome) (Backend *backend, Gw__Outcome *outcome, gpointer ctx);
   const Fleet *(*fleet) (gpointer ctx);
 } BackendsOps;
@@ -79,37 +79,43 @@
 Backends *backends_new (const BackendsInit *init, const BackendsOps *ops, gpointer ctx);
 void backends_free (Backends *backends);
 
-/** backends_link_up - a link whose peer is an agent. Takes a reference. */
+/** backends_link_up - the link to an agent is up. Takes a reference. */
 void backends_link_up (Backends *backends, Link *link);
 /** backends_link_down - Return: whether the link was one to an agent. */
 gboolean backends_link_down (Backends *backends, Link *link, LinkEnd end);
 Backend *backends_of_link (Backends *backends, const Link *link);
 
-/** backends_find - the record of this very incarnation, NULL if there is none. */
+/** backends_find - the record of this incarnation, NULL if there is none. */
 Backend *backends_find (Backends *backends, const Gw__Backend *info);
+
+/** backends_update_load - take over the load that an agent reports. */
 void backends_update_load (Backend *backend, const Gw__Load *load);
 
 /** backends_announce - a backend server without an agent announced itself. */
 void backends_announce (Backends *backends, const Gw__Backend *info);
 
-/** backends_reconfigured - take over drains and settings from the fleet. */
+/** backends_reconfigured - take over drains and groups from the fleet. */
 void backends_reconfigured (Backends *backends);
 
-/** backends_tick - lapse announcements, give up agents out of reach. */
+/** backends_tick - expire announcements, declare unreachable agents lost. */
 void backends_tick (Backends *backends, gint64 now_ms);
 
+/** backends_group - the group of this name, created if needed. */
 BackendGroup *backends_group (Backends *backends, const char *name);
 GHashTable *backends_groups (Backends *backends);
 
-/** backends_group_slots - slots that work can be placed on, in all. */
+/** backends_group_slots - free and busy slots of the usable backend servers. */
 guint backends_group_slots (const BackendGroup *group);
 gboolean backends_group_has_agentless (const BackendGroup *group);
 
 /**
- * backends_choose - the server for a task.
- * @acked_version: the roster version that the task's holder knows.
+ * backends_choose - choose the backend server for a task.
+ * @acked_version: the roster version that the task's holder has acknowledged; it must
+ *   know the server, to ask it about the task if this home is lost.
+ * @memory_mb: the task's need; 0: undeclared.
+ * @task_ms: expected run time of the task.
  * @waiting: tasks that wait for a slot of the group.
- * Return: NULL if none suits now.
+ * Return: NULL if none is suitable now.
  */
 Backend *backends_choose (BackendGroup *group,
                           guint64 acked_version,
@@ -117,6 +123,10 @@
                           double task_ms,
                           guint waiting);
 
-/** backends_observe - learn from an outcome of a task placed there. */
+/**
+ * backends_observe - update health and slowness from the outcome of a task.
+ * @expected_ms: its expected run time.
+ * @run_ms: its run time; both are ignored if it @failed.
+ */
 void
 backends_observe (Backend *backend, gboolean failed, double expected_ms, guint run_ms);
--- a/src/backends_choose.c
+++ b/src/backends_choose.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "backends"
-/* Which slots are free, which backend server takes the next task, and what its outcomes
- * say of its health and speed. */
+/* Counts free slots, chooses the backend server for a task, and updates its health and
+ * slowness from outcomes. */
 #include "backends_parts.h"
 #include "clock.h"
 #include "counters.h"
@@ -10,10 +10,10 @@
 
 #include <string.h>
 
-/* Weight of one task in a server's slowness. */
+/* Weight of one task in a server's slowness (moving average). */
 #define SLOWNESS_RATE 0.05
 #define SLOWNESS_MIN_ANSWERS 20
-/* Clock steps and scheduling blur the run times of the shortest tasks. */
+/* Clock resolution and scheduling blur the run times of the shortest tasks. */
 #define RUN_NOISE_MS 5.0
 
 static gboolean
@@ -52,14 +52,14 @@
   guint capacity;
   guint used = backend->placed + backend->others;
 
-  if (!is_usable (backend) || now_ms < backend->hold_ms)
+  if (!is_usable (backend) || now_ms < backend->backoff_until_ms)
     return 0;
   capacity = health_capacity (&backend->health, backend->info->slots, now_ms);
   return capacity > used ? capacity - used : 0;
 }
 
 static gboolean
-holds_size (const Backend *backend, guint memory_mb)
+has_memory (const Backend *backend, guint memory_mb)
 {
   return backend->info->memory_mb == 0 || memory_mb <= backend->info->memory_mb;
 }
@@ -76,7 +76,7 @@
   candidate->slowness = backend->slowness;
   candidate->same_zone = strcmp (backend->info->zone, backend->backends->init.zone) == 0;
   candidate->suitable
-      = backend->since_version <= acked_version && holds_size (backend, memory_mb);
+      = backend->since_version <= acked_version && has_memory (backend, memory_mb);
 }
 
 Backend *
@@ -118,10 +118,10 @@
         peers.ejected++;
       if (backend == except || backend->health.state != HEALTH_GOOD)
         continue;
-      failing += backend->health.failing;
+      failing += backend->health.failure_rate;
       others++;
     }
-  peers.failing = others > 0 ? failing / others : 0;
+  peers.failure_rate = others > 0 ? failing / others : 0;
   return peers;
 }
 
@@ -138,7 +138,7 @@
   if (health_observe (&backend->health, failed, &peers, clock_now_ms ()))
     {
       counter_add (COUNTER_BACKENDS_EJECTED, 1);
-      log_warn ("backend server %s is ejected, it fails what its peers do",
+      log_warn ("backend server %s is ejected: it fails far more often than its peers",
                 backend->info->name);
       timeline_add ("backend-ejected", NULL, -1, backend->info->name);
     }
--- a/src/backends_parts.h
+++ b/src/backends_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the parts of the backend servers' records share. backends.c keeps links, agents
- * and announcements, backends_choose.c places. */
+/* Internals of the backend servers' records. backends.c keeps links, agents and
+ * announcements, backends_choose.c places. */
 #include "backends.h"
 
 struct Backends
--- a/src/health.c
+++ b/src/health.c
@@ -2,8 +2,8 @@
 
 #define RECENT_WEIGHT 0.2
 #define MIN_OUTCOMES 5
-#define FAILING_LIMIT 0.6
-/* Ejected only where its peers succeed: if all fail alike, the fault is in the tasks. */
+#define MAX_FAILURE_RATE 0.6
+/* Ejected only if its peers fail less: if all fail alike, the fault is in the tasks. */
 #define PEERS_FACTOR 2.0
 #define MAX_EJECTED_SHARE 0.34
 #define EJECT_MS 2000
@@ -13,7 +13,8 @@
 static gboolean
 may_eject (const Health *health, const HealthPeers *peers)
 {
-  if (health->failing < FAILING_LIMIT || health->failing < PEERS_FACTOR * peers->failing)
+  if (health->failure_rate < MAX_FAILURE_RATE
+      || health->failure_rate < PEERS_FACTOR * peers->failure_rate)
     return FALSE;
   return peers->ejected + 1 <= MAX (1.0, peers->backends * MAX_EJECTED_SHARE)
          && peers->backends > 1;
@@ -42,7 +43,7 @@
   if (++health->good_probes < PROBES_NEEDED)
     return FALSE;
   health->state = HEALTH_GOOD;
-  health->failing = 0;
+  health->failure_rate = 0;
   health->ejections = 0;
   health->outcomes = 0;
   return FALSE;
@@ -52,7 +53,7 @@
 health_observe (Health *health, gboolean failed, const HealthPeers *peers, gint64 now_ms)
 {
   health->outcomes++;
-  health->failing += RECENT_WEIGHT * ((failed ? 1.0 : 0.0) - health->failing);
+  health->failure_rate += RECENT_WEIGHT * ((failed ? 1.0 : 0.0) - health->failure_rate);
   switch (health->state)
     {
     case HEALTH_EJECTED: /* a task from before the ejection */
--- a/src/health.h
+++ b/src/health.h
@@ -1,6 +1,7 @@
 #pragma once
-/* The health of one backend server, judged against its peers. A server that fails every
- * task at once looks free and would draw all work; it is ejected and let back slowly. */
+/* Outlier ejection of a backend server, compared with its group's peers. A server that
+ * fails every task at once always has free slots and would attract all tasks. It is
+ * ejected, then probed with one task at a time. */
 #include <glib.h>
 
 typedef enum
@@ -13,27 +14,27 @@
 typedef struct
 {
   HealthState state;
-  double failing;  /* share of failures among recent outcomes */
-  guint outcomes;  /* seen since the last change of state */
-  guint ejections; /* in a row, for the backoff */
-  gint64 until_ms; /* end of the ejection */
+  double failure_rate; /* moving average over outcomes, 0 to 1 */
+  guint outcomes;      /* since the last ejection or recovery */
+  guint ejections;     /* in a row, for the backoff */
+  gint64 until_ms;     /* end of the ejection */
   guint good_probes;
 } Health;
 
-/* What the peers of the same group do, for comparison. */
+/* The server's group, for comparison. */
 typedef struct
 {
-  double failing; /* mean share of failures of the others */
-  guint backends;
+  double failure_rate; /* mean of the others in good health */
+  guint backends;      /* with the server itself */
   guint ejected;
 } HealthPeers;
 
 /**
- * health_observe - take in one outcome.
- * Return: TRUE if the server was ejected by it.
+ * health_observe - count one outcome.
+ * Return: TRUE if it ejected the server.
  */
 gboolean
 health_observe (Health *health, gboolean failed, const HealthPeers *peers, gint64 now_ms);
 
-/** health_capacity - how many tasks at once the server may be given, at most @slots. */
+/** health_capacity - concurrent tasks that the server may be given, at most @slots. */
 guint health_capacity (Health *health, guint slots, gint64 now_ms);
--- a/src/home.c
+++ b/src/home.c
@@ -2,10 +2,10 @@
 #include "counters.h"
 #include "home_parts.h"
 
-/* Dropped jobs are remembered so that a late grant of them is not taken for a new one. */
+/* Dropped jobs are kept, so that a repeated grant of them is not taken for a new one. */
 #define ORPHAN_LIFETIME_MS 300000
 #define SWEEP_MS 1000
-#define RETELL_MS 10000
+#define RESEND_MS 10000
 
 static guint
 part_hash (gconstpointer key)
@@ -164,7 +164,7 @@
         continue;
       home_job_orphan (job);
       home_drop_waiting (job, GW__OUTCOME__REASON__CANCELLED, 0);
-      home_settle_ended (job);
+      home_resolve_ended (job);
       if (job->placed == 0)
         home_job_leave_queue (job);
     }
@@ -180,11 +180,11 @@
       if (job->waiting == 0 || job->orphan)
         continue;
       if (home->ops->is_home (job->group->backends->name, home->ctx)
-          && home_group_stands (job->group))
+          && home_group_exists (job->group))
         continue;
       counter_add (COUNTER_TASKS_HANDED_BACK, job->waiting);
       home_drop_waiting (job, GW__OUTCOME__REASON__HANDED_BACK, 1);
-      home_tell_all (job);
+      home_report_all (job);
     }
 }
 
@@ -202,20 +202,20 @@
     }
 }
 
-/* The holder's last word on a job may be lost with a link. It is told again; a holder
- * that has no use for it says so. */
+/* The holder's acknowledgement of a job may be lost with a link. One outcome is sent
+ * again; a holder that no longer knows the job answers with an acknowledgement. */
 static void
-retell_unacked (HomeJob *job, gint64 now_ms)
+resend_unacked (HomeJob *job, gint64 now_ms)
 {
   GHashTableIter iter;
   HomeTask *task;
 
-  job->told_ms = now_ms;
+  job->reported_ms = now_ms;
   g_hash_table_iter_init (&iter, job->tasks);
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&task))
     if (task->outcome != NULL)
       {
-        home_tell_task (task);
+        home_report_task (task);
         return;
       }
 }
@@ -231,8 +231,9 @@
       next = LIST_NEXT (job, link_entry);
       if (job->orphan && job->placed == 0 && now_ms - job->orphan_ms > ORPHAN_LIFETIME_MS)
         home_job_free (job);
-      else if (!job->orphan && job->told_ms > 0 && now_ms - job->told_ms > RETELL_MS)
-        retell_unacked (job, now_ms);
+      else if (!job->orphan && job->reported_ms > 0
+               && now_ms - job->reported_ms > RESEND_MS)
+        resend_unacked (job, now_ms);
     }
 }
 
--- a/src/home_dispatch.c
+++ b/src/home_dispatch.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "home"
-/* From the queue to the slots: which task goes next, and where. */
+/* Takes tasks from the queue and places them on free slots. */
 #include "counters.h"
 #include "home_parts.h"
 #include "messages.h"
@@ -56,8 +56,8 @@
   gw__start__free_unpacked (start, NULL);
 }
 
-/* A holder out of touch may settle its tasks with the owners and grant them elsewhere at
- * any moment: nothing of it starts until it is heard again. */
+/* An unresponsive holder may already reconcile its tasks with the slot owners and grant
+ * them elsewhere: none of them starts until the holder is received again. */
 static void
 hold_job (HomeJob *job)
 {
@@ -79,7 +79,8 @@
     }
 }
 
-/* A job that no free slot suits, for a reason of its own, must not hold up the others. */
+/* Takes a job out of the queue for this round: no free slot meets its constraints, and it
+ * must not block the jobs behind it. */
 static void
 set_aside (HomeJob *job)
 {
@@ -88,7 +89,7 @@
 }
 
 static void
-take_back_set_aside (HomeGroup *group)
+requeue_set_aside (HomeGroup *group)
 {
   HomeJob *job;
 
@@ -102,22 +103,22 @@
 }
 
 static gboolean
-is_choosy (const HomeJob *job, guint64 acked_version)
+has_constraints (const HomeJob *job, guint64 acked_version)
 {
   return job->memory_mb > 0 || acked_version < job->group->backends->roster_version;
 }
 
-/* Attempts must rise for as long as a task may start: a job that has used up the numbers
- * of its grant goes back to its holder for a new one. */
+/* Attempt numbers must rise with every start of a task. A job that has used up the
+ * 16 bits of its grant goes back to its holder for a new grant. */
 static void
-hand_back_used_up (HomeJob *job)
+hand_back_exhausted (HomeJob *job)
 {
   counter_add (COUNTER_TASKS_HANDED_BACK, job->waiting);
   home_drop_waiting (job, GW__OUTCOME__REASON__HANDED_BACK, 1);
-  home_tell_all (job);
+  home_report_all (job);
 }
 
-/* Return: FALSE if dispatching must stop for now. */
+/* Return: FALSE if nothing more can be placed now. */
 static gboolean
 dispatch_one (HomeGroup *group, guint slots)
 {
@@ -141,7 +142,7 @@
   if (job->placements == G_MAXUINT16)
     {
       queue_finished (group->queue, queue_job, TRUE);
-      hand_back_used_up (job);
+      hand_back_exhausted (job);
       return TRUE;
     }
   task_ms = runtimes_estimate (&group->runtimes, job->declared_ms);
@@ -151,7 +152,7 @@
   if (backend == NULL)
     {
       queue_finished (group->queue, queue_job, TRUE);
-      if (!is_choosy (job, acked))
+      if (!has_constraints (job, acked))
         return FALSE;
       set_aside (job);
       group->any_set_aside = TRUE;
@@ -167,7 +168,7 @@
 {
   guint slots = backends_group_slots (group->backends);
 
-  /* An executor may refuse at once and so call back into here. */
+  /* An executor that refuses a start at once calls back into this function. */
   if (group->dispatching || queue_waiting (group->queue) == 0 || slots == 0
       || !group->home->ops->may_place (group->home->ctx))
     return;
@@ -175,7 +176,7 @@
   while (dispatch_one (group, slots))
     ;
   if (group->any_set_aside)
-    take_back_set_aside (group);
+    requeue_set_aside (group);
   group->any_set_aside = FALSE;
   group->dispatching = FALSE;
 }
--- a/src/home_grants.c
+++ b/src/home_grants.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "home"
-/* Grants from holders: admitted or refused at once, kept as jobs, and told again what has
- * ended when a holder asks or is back. */
+/* Grants from holders: admits or refuses them, keeps them as jobs, and resends outcomes
+ * when a holder repeats a grant or its link is up again. */
 #include "clock.h"
 #include "counters.h"
 #include "home_parts.h"
@@ -10,7 +10,7 @@
 #include <math.h>
 #include <string.h>
 
-/* A group without any backend server refuses at once after this long. */
+/* A group that has had no backend server for this long refuses grants. */
 #define EMPTY_REFUSE_MS 5000
 #define RETRY_AFTER_MAX_S 60
 
@@ -34,10 +34,10 @@
     }
 }
 
-/* The job was dropped while its holder was given up here; what had ended was forgotten.
- */
+/* The holder was declared dead here, so the job's outcomes were dropped; only whether a
+ * task may have run is still known. */
 static void
-retell_forgotten (HomeTask *task)
+resend_dropped (HomeTask *task)
 {
   HomeJob *job = task->job;
   Gw__Outcome *outcome
@@ -53,17 +53,16 @@
   gw__outcome__free_unpacked (outcome, NULL);
 }
 
-/* @forgotten: the job was dropped here. */
 static void
-retell_task (HomeTask *task, gboolean forgotten)
+resend_task (HomeTask *task, gboolean dropped)
 {
   if (task->outcome != NULL)
-    home_tell_task (task);
-  else if (forgotten && task->state == TASK_ENDED)
-    retell_forgotten (task);
+    home_report_task (task);
+  else if (dropped && task->state == TASK_ENDED)
+    resend_dropped (task);
 }
 
-/* A grant that is known: its link broke, and the holder asks again. */
+/* The holder repeats a known grant after its link was lost. */
 static void
 regrant_known (HomeJob *job, const Gw__Grant *grant)
 {
@@ -76,13 +75,13 @@
           = g_hash_table_lookup (job->tasks, GUINT_TO_POINTER (grant->tasks[i]->index));
 
       if (task != NULL)
-        retell_task (task, was_orphan);
+        resend_task (task, was_orphan);
     }
 }
 
-/* Whether the configuration still has the group. */
+/* FALSE once the configuration has lowered the service's number of groups. */
 gboolean
-home_group_stands (const HomeGroup *group)
+home_group_exists (const HomeGroup *group)
 {
   const Home *home = group->home;
   const Fleet *fleet = home->ops->fleet (home->ctx);
@@ -101,7 +100,7 @@
                                 clock_now_ms ());
 }
 
-/* Return: the reason not to take a grant, NONE to take it. */
+/* Return: the reason to refuse a grant, NONE to admit it. */
 static Gw__Outcome__Reason
 admission (HomeGroup *group, const Gw__Grant *grant, guint *retry_after_s)
 {
@@ -111,7 +110,7 @@
   double finish_ms;
 
   *retry_after_s = 1;
-  if (home->leaving || !home_group_stands (group))
+  if (home->leaving || !home_group_exists (group))
     return GW__OUTCOME__REASON__HANDED_BACK;
   if (empty_ms > 0 && clock_now_ms () - empty_ms > EMPTY_REFUSE_MS)
     return GW__OUTCOME__REASON__NO_BACKEND;
@@ -211,9 +210,10 @@
   home_dispatch (group);
 }
 
-/* Grants first: a holder that hears the last outcome just after it has granted a job over
- * a new link sends both in one frame. The end, taken first, would forget the job, and the
- * grant would start it all over again. No grant of a job follows its end. */
+/* Grants first: a holder that receives a job's last outcome just after it repeated the
+ * grant over a new link sends the grant and the final ack in one frame. The ack, handled
+ * first, would free the job, and the grant would run it again. A holder never grants a
+ * job after its final ack. */
 void
 home_take_frame (Home *home, guint64 holder, const Gw__Frame *frame)
 {
@@ -238,6 +238,6 @@
         continue;
       g_hash_table_iter_init (&iter, job->tasks);
       while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&task))
-        retell_task (task, job->orphan);
+        resend_task (task, job->orphan);
     }
 }
--- a/src/home_outcomes.c
+++ b/src/home_outcomes.c
@@ -1,16 +1,15 @@
 #define LOG_MODULE "home"
-/* What becomes of a task: its outcome told to the holder, acknowledged to the slot owner,
- * or the task queued again after a proved refusal. */
+/* Ends of tasks: outcomes are sent to the holder and acknowledged to the slot owner;
+ * tasks whose start was refused are queued again. */
 #include "clock.h"
 #include "counters.h"
 #include "home_parts.h"
 #include "messages.h"
 
-/* A holder hears of finished tasks once all of the job here are done, or this much waits.
- */
+/* Outcomes are sent once all tasks of a job here have ended, or this much is pending. */
 #define OUTCOMES_FULL_BYTES (256u << 10)
-#define BUSY_HOLD_MS 10
-#define UNREACHABLE_HOLD_MS 200
+#define BUSY_BACKOFF_MS 10
+#define UNREACHABLE_BACKOFF_MS 200
 #define UNREACHABLE_TRIES 3
 
 static void
@@ -36,39 +35,39 @@
   link_append_lazily (backend->link, LINK_ACKS, &message_ack (&key.job, &ref, 1)->base);
 }
 
-/* The holder has the outcome: the owner may forget it, and so may we. */
+/* The holder has the outcome, or no longer needs it: the slot owner may drop it too. */
 static void
-task_settled (HomeTask *task)
+task_resolved (HomeTask *task)
 {
   ack_owner (task);
   if (task->outcome != NULL)
     gw__outcome__free_unpacked (task->outcome, NULL);
   task->outcome = NULL;
-  task->told = TRUE;
+  task->reported = TRUE;
 }
 
 void
-home_tell_task (HomeTask *task)
+home_report_task (HomeTask *task)
 {
   Home *home = task->job->home;
 
-  task->told = TRUE;
+  task->reported = TRUE;
   home->ops->outcome (task->job->key.job.holder, task->outcome, home->ctx);
 }
 
 void
-home_tell_all (HomeJob *job)
+home_report_all (HomeJob *job)
 {
   GHashTableIter iter;
   HomeTask *task;
 
-  job->untold_bytes = 0;
+  job->unreported_bytes = 0;
   if (job->orphan)
     return;
   g_hash_table_iter_init (&iter, job->tasks);
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&task))
-    if (task->outcome != NULL && !task->told)
-      home_tell_task (task);
+    if (task->outcome != NULL && !task->reported)
+      home_report_task (task);
 }
 
 static gboolean
@@ -77,8 +76,9 @@
   return outcome->kind != GW__OUTCOME__KIND__ANSWERED || outcome->status >= 400;
 }
 
-/* An ended task waits for the others of its job, so that many outcomes share a frame: the
- * holder can answer only when it has all. A failure ends the job and is told at once. */
+/* The holder can answer its caller only when it has all outcomes of a job, so an outcome
+ * waits for the others and shares a frame with them. A failure ends the job and is sent
+ * at once. */
 static void
 task_ended (HomeTask *task, Gw__Outcome *outcome)
 {
@@ -94,18 +94,18 @@
   g_clear_pointer (&task->payload, g_bytes_unref);
   if (job->orphan)
     {
-      task_settled (task);
+      task_resolved (task);
       return;
     }
-  job->untold_bytes += outcome->body.len;
+  job->unreported_bytes += outcome->body.len;
   if (job->waiting + job->placed == 0)
     {
       home_job_leave_queue (job);
-      job->told_ms = clock_now_ms ();
-      home_tell_all (job);
+      job->reported_ms = clock_now_ms ();
+      home_report_all (job);
     }
-  else if (outcome_is_failure (outcome) || job->untold_bytes > OUTCOMES_FULL_BYTES)
-    home_tell_all (job);
+  else if (outcome_is_failure (outcome) || job->unreported_bytes > OUTCOMES_FULL_BYTES)
+    home_report_all (job);
 }
 
 void
@@ -126,7 +126,7 @@
   job->waiting++;
   TAILQ_INSERT_HEAD (&job->waiting_tasks, task, waiting_entry);
   queue_finished (job->group->queue, job->queue_job, TRUE);
-  /* Out of the queue for now, the task with the others: it comes back with them. */
+  /* The job is out of the queue: its tasks, this one too, are pushed again together. */
   if (job->held || job->set_aside)
     queue_hold (job->group->queue, job->queue_job, 1);
 }
@@ -141,7 +141,7 @@
   return task;
 }
 
-/* End all waiting tasks of a job as not run: they never left this queue. */
+/* Ends all waiting tasks of a job as not run: none of them has started. */
 void
 home_drop_waiting (HomeJob *job, Gw__Outcome__Reason reason, guint retry_after_s)
 {
@@ -163,9 +163,8 @@
     }
 }
 
-/* Free the job if nothing of it can matter any more. */
 static void
-job_check_done (HomeJob *job)
+job_free_if_done (HomeJob *job)
 {
   if (job->placed == 0 && job->waiting == 0)
     home_job_free (job);
@@ -179,7 +178,7 @@
 }
 
 void
-home_settle_ended (HomeJob *job)
+home_resolve_ended (HomeJob *job)
 {
   GHashTableIter iter;
   HomeTask *task;
@@ -187,13 +186,13 @@
   g_hash_table_iter_init (&iter, job->tasks);
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&task))
     if (task->state == TASK_ENDED)
-      task_settled (task);
+      task_resolved (task);
 }
 
-/* What was handed to a slot owner may run by now. The holder is told so at once, without
- * waiting for the owner, because its caller is to be answered at once. */
+/* Placed tasks may be running. This is reported without waiting for the slot owner,
+ * because the caller of a cancelled job is answered at once. */
 static void
-tell_placed (HomeJob *job)
+report_placed (HomeJob *job)
 {
   GHashTableIter iter;
   HomeTask *task;
@@ -218,8 +217,8 @@
 {
   JobKey key = message_job_key (cancel->job);
 
-  /* The holder answers its caller from what is told here: waiting tasks as not run, at
-   * once; placed ones run on, and their outcomes are for nobody. */
+  /* The holder answers its caller from these reports. Waiting tasks end as not run;
+   * placed ones run on, and their outcomes are not used. */
   for (guint32 grant = 1; grant <= ATTEMPT_GRANT (cancel->up_to_attempt); grant++)
     {
       HomeJob *job = home_job_lookup (home, &key, grant);
@@ -227,15 +226,15 @@
       if (job == NULL)
         continue;
       home_drop_waiting (job, GW__OUTCOME__REASON__CANCELLED, 0);
-      home_tell_all (job);
-      tell_placed (job);
+      home_report_all (job);
+      report_placed (job);
     }
 }
 
 static void
 ack_whole_job (Home *home, const JobKey *key)
 {
-  /* Grants of one job are few: it is granted anew only after a home was lost. */
+  /* A job has few grants: it gets a new one only after a home was lost. */
   for (guint32 grant = 1, missing = 0; missing < 4; grant++)
     {
       HomeJob *job = home_job_lookup (home, key, grant);
@@ -248,8 +247,8 @@
       home_job_orphan (job);
       job->finished = TRUE;
       home_drop_waiting (job, GW__OUTCOME__REASON__CANCELLED, 0);
-      home_settle_ended (job);
-      job_check_done (job);
+      home_resolve_ended (job);
+      job_free_if_done (job);
     }
 }
 
@@ -271,14 +270,14 @@
                                    : NULL;
 
       if (task != NULL && task->state == TASK_ENDED)
-        task_settled (task);
+        task_resolved (task);
     }
 }
 
-/* A refusal by the slot owner proves that the task did not start: it may go elsewhere.
- * Return: whether it waits again. */
+/* A refusal by the slot owner proves that the task did not start: it may be placed again.
+ * Return: FALSE if it must not be. */
 static gboolean
-refused_by_owner (HomeTask *task, const Gw__Outcome *outcome, Backend *backend)
+requeue_refused (HomeTask *task, const Gw__Outcome *outcome, Backend *backend)
 {
   gint64 now = clock_now_ms ();
 
@@ -290,14 +289,14 @@
       break;
     case GW__OUTCOME__REASON__UNREACHABLE:
       backends_observe (backend, TRUE, 0, 0);
-      backend->hold_ms = now + UNREACHABLE_HOLD_MS;
+      backend->backoff_until_ms = now + UNREACHABLE_BACKOFF_MS;
       if (++task->unreachable >= UNREACHABLE_TRIES)
         return FALSE;
       break;
     case GW__OUTCOME__REASON__FENCED:
       return FALSE;
     default:
-      backend->hold_ms = now + BUSY_HOLD_MS;
+      backend->backoff_until_ms = now + BUSY_BACKOFF_MS;
       break;
     }
   home_requeue (task);
@@ -305,14 +304,14 @@
 }
 
 static void
-learn_from (HomeTask *task, const Gw__Outcome *outcome, Backend *backend)
+record_run (HomeTask *task, const Gw__Outcome *outcome, Backend *backend)
 {
   HomeGroup *group = task->job->group;
   double expected_ms = runtimes_estimate (&group->runtimes, task->job->declared_ms);
   gboolean failed
       = outcome->kind != GW__OUTCOME__KIND__ANSWERED || outcome->status >= 500;
 
-  /* Told for the slot's sake alone; how the task went is not known. */
+  /* Such an outcome only frees the slot; how the run went is unknown. */
   if (outcome->reason == GW__OUTCOME__REASON__OWNER_LOST)
     return;
   backends_observe (backend, failed, expected_ms, outcome->run_ms);
@@ -343,7 +342,7 @@
   queue_finished (job->group->queue, job->queue_job, FALSE);
   task_ended (task, outcome);
   if (job->finished)
-    job_check_done (job);
+    job_free_if_done (job);
   else if (job->orphan && job->placed == 0)
     home_job_leave_queue (job);
 }
@@ -359,14 +358,14 @@
   group = task->job->group;
   home_unplace (task);
   if (outcome->kind == GW__OUTCOME__KIND__NOT_RUN
-      && (task->job->orphan || !refused_by_owner (task, outcome, backend)))
+      && (task->job->orphan || !requeue_refused (task, outcome, backend)))
     {
       task->backend = NULL;
       home_end_placed (task, message_outcome_copy (outcome));
     }
   else if (outcome->kind != GW__OUTCOME__KIND__NOT_RUN)
     {
-      learn_from (task, outcome, backend);
+      record_run (task, outcome, backend);
       home_end_placed (task, message_outcome_copy (outcome));
     }
   home_dispatch (group);
--- a/src/home_owners.c
+++ b/src/home_owners.c
@@ -1,12 +1,12 @@
 #define LOG_MODULE "home"
-/* Slot owners lost and found: questions about placed tasks, and the end of those whose
- * owner is gone. */
+/* Slot owners that are reached again, which are asked about their placed tasks, and slot
+ * owners that are lost, whose tasks end. */
 #include "counters.h"
 #include "home_parts.h"
 #include "messages.h"
 
 static void
-ask_about_job (PlacedList *list, Backend *backend, const JobKey *key, guint64 query)
+send_fence (PlacedList *list, Backend *backend, const JobKey *key, guint64 query)
 {
   Gw__Fence *fence = g_new (Gw__Fence, 1);
   HomeTask *task;
@@ -26,9 +26,9 @@
   link_append (backend->link, LINK_FENCES, &fence->base);
 }
 
-/* The agent is back under the same incarnation: starts and outcomes may have been lost
- * with the old link. One question settles both: what it does not know will never start.
- */
+/* The agent is linked again under the same incarnation; starts and outcomes may have been
+ * lost with the old link. A fence covers both: the agent reports the tasks that it has
+ * started and will never start the others. */
 void
 home_backend_reached (Home *home, Backend *backend)
 {
@@ -38,10 +38,10 @@
 
   LIST_FOREACH (task, &list->tasks, placed_entry)
     if (task->fence_query != query)
-      ask_about_job (list, backend, &task->job->key.job, query);
+      send_fence (list, backend, &task->job->key.job, query);
 }
 
-/* Return: the attempt under which the owner started the task, 0 if it did not. */
+/* Return: the attempt under which the slot owner started the task, 0 if it did not. */
 static guint32
 started_attempt (const Gw__FenceReply *reply, guint32 index)
 {
@@ -67,9 +67,9 @@
                                           GW__OUTCOME__REASON__FENCED, 0));
 }
 
-/* Its holder had given this home up and granted the task to another, whose start came
- * first. Ours never runs and no outcome under its attempt will follow: waiting for one
- * would count the slot as taken for good. */
+/* The holder declared this home dead and granted the task to another home, whose start
+ * arrived first. This home's start never runs, so no outcome under its attempt will
+ * follow; waiting for one would count the slot as taken forever. */
 static void
 started_by_another (HomeTask *task)
 {
@@ -83,7 +83,7 @@
 }
 
 static void
-take_fence_answer (HomeTask *task, guint32 started)
+apply_fence_reply (HomeTask *task, guint32 started)
 {
   if (started == 0)
     not_started (task);
@@ -106,29 +106,29 @@
       if (task->fence_query != reply->query || !job_key_equal (&task->job->key.job, &key))
         continue;
       mine = TRUE;
-      take_fence_answer (task, started_attempt (reply, task->index));
+      apply_fence_reply (task, started_attempt (reply, task->index));
     }
   home_slots_freed (home, backend->group);
   return mine;
 }
 
-/* Outcomes wait for the other tasks of their job, but not beyond the loss of their owner:
- * it leaves the roster now, and a holder that loses this home asks only those in it. It
- * would find nobody who has heard of the task, and have it run a second time. */
+/* Sends the outcomes that wait for other tasks of their job, because their slot owner
+ * leaves the roster. A holder that loses this home asks only the slot owners in the
+ * roster; none of them would know the task, and it would run a second time. */
 static void
-tell_kept_back (const PlacedList *list)
+report_pending (const PlacedList *list)
 {
   HomeTask *task;
 
   LIST_FOREACH (task, &list->unacked, placed_entry)
-    if (task->outcome != NULL && !task->told && !task->job->orphan)
-      home_tell_task (task);
+    if (task->outcome != NULL && !task->reported && !task->job->orphan)
+      home_report_task (task);
 }
 
 void
 home_backend_moved (Home *home, Backend *backend)
 {
-  tell_kept_back (home_placed_list (home, backend));
+  report_pending (home_placed_list (home, backend));
 }
 
 void
@@ -137,7 +137,7 @@
   PlacedList *list = home_placed_list (home, backend);
   HomeTask *task;
 
-  tell_kept_back (list);
+  report_pending (list);
   while ((task = LIST_FIRST (&list->tasks)) != NULL)
     {
       Gw__Outcome *outcome
--- a/src/home_parts.h
+++ b/src/home_parts.h
@@ -1,8 +1,7 @@
 #pragma once
-/* What the parts of the home share: its records, and the steps that one part asks of
- * another. home.c keeps groups and jobs, home_grants.c takes grants, home_dispatch.c
- * places, home_outcomes.c ends tasks, home_owners.c deals with slot owners lost and
- * found. */
+/* Internals of the home. home.c keeps groups and jobs, home_grants.c takes grants,
+ * home_dispatch.c places, home_outcomes.c ends tasks, home_owners.c handles slot owners
+ * that are lost or reached again. */
 #include "home.h"
 #include "runtimes.h"
 
@@ -26,13 +25,13 @@
   guint32 index;
   guint32 attempt;
   HomeTaskState state;
-  guint unreachable;
+  guint unreachable; /* starts that did not reach the backend server */
   Backend *backend;
-  guint64 fence_query; /* of the last question about it */
+  guint64 fence_query; /* number of the last fence sent for it */
   GBytes *payload;
-  Gw__Outcome *outcome; /* until the holder has it */
-  gboolean told;
-  gboolean started; /* ended, and not proved not to have run */
+  Gw__Outcome *outcome; /* until the holder acknowledges it */
+  gboolean reported;
+  gboolean started; /* has ended and may have run */
 } HomeTask;
 
 typedef struct
@@ -51,15 +50,15 @@
   guint declared_ms;
   guint memory_mb;
   guint16 placements;
-  gboolean held;      /* out of the queue, its holder is out of touch */
+  gboolean held;      /* out of the queue while its holder is unresponsive */
   gboolean set_aside; /* out of the queue for this round of dispatching */
-  gboolean orphan;    /* nobody wants its outcomes */
-  gboolean finished;  /* its holder has said so; freed with its last placed task */
+  gboolean orphan;    /* its outcomes are no longer needed */
+  gboolean finished;  /* acknowledged whole; freed with its last placed task */
   gint64 orphan_ms;
-  gint64 told_ms; /* when all its outcomes were last told; 0: not all have ended */
+  gint64 reported_ms; /* when its outcomes were last sent; 0: not all have ended */
   guint waiting;
   guint placed;
-  gsize untold_bytes;
+  gsize unreported_bytes;
   GHashTable *tasks; /* index -> HomeTask */
   TAILQ_HEAD (, HomeTask) waiting_tasks;
 };
@@ -78,7 +77,7 @@
 typedef struct
 {
   LIST_HEAD (, HomeTask) tasks;   /* placed */
-  LIST_HEAD (, HomeTask) unacked; /* ended, its memory of them not yet released */
+  LIST_HEAD (, HomeTask) unacked; /* ended, not yet acknowledged to the slot owner */
 } PlacedList;
 
 struct Home
@@ -105,18 +104,17 @@
 void home_job_free (HomeJob *job);
 
 /* home_grants.c */
-/* Whether the configuration still has the group. */
-gboolean home_group_stands (const HomeGroup *group);
+gboolean home_group_exists (const HomeGroup *group);
 
 /* home_outcomes.c */
-void home_tell_task (HomeTask *task);
-void home_tell_all (HomeJob *job);
+void home_report_task (HomeTask *task);
+void home_report_all (HomeJob *job);
 void home_unplace (HomeTask *task);
 void home_requeue (HomeTask *task);
 HomeTask *home_take_waiting (HomeJob *job);
 void home_drop_waiting (HomeJob *job, Gw__Outcome__Reason reason, guint retry_after_s);
 void home_job_orphan (HomeJob *job);
-void home_settle_ended (HomeJob *job);
+void home_resolve_ended (HomeJob *job);
 void home_end_placed (HomeTask *task, Gw__Outcome *outcome);
 
 /* home_dispatch.c */
--- a/src/queue.c
+++ b/src/queue.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* The sum of the listed weights drifts by rounding; a share of 4.0000001 slots is 4. */
+/* The sum of the listed weights drifts by rounding: a share of 4.0000001 slots is 4. */
 #define SHARE_ROUNDING 1e-6
 
 static void
@@ -89,12 +89,12 @@
 static void
 team_list (Queue *queue, QueueTeam *team)
 {
-  gboolean wanted = team->waiting > 0;
+  gboolean list = team->waiting > 0;
 
-  if (wanted == team->listed)
+  if (list == team->listed)
     return;
-  team->listed = wanted;
-  if (wanted)
+  team->listed = list;
+  if (list)
     {
       team->share = queue->ops->team_share (team->name, queue->ctx);
       queue->active_weight += team->share.weight;
@@ -110,7 +110,7 @@
 {
   QueueTeam *team;
 
-  /* Jobs that wait keep their order until something of them changes. */
+  /* A waiting job keeps its order until its tasks change. */
   queue->aging = aging;
   queue->active_weight = 0;
   TAILQ_FOREACH (team, &queue->active, link)
@@ -120,8 +120,8 @@
     }
 }
 
-/* Kept, because a pick looks at every listed team, and finding the first of a balanced
- * tree takes a walk down it. */
+/* Cached, because a pick visits every listed team, and finding the first element of a
+ * balanced tree takes a walk down it. */
 static void
 team_find_first (QueueTeam *team)
 {
@@ -130,8 +130,8 @@
   team->first = g_sequence_iter_is_end (begin) ? NULL : g_sequence_get (begin);
 }
 
-/* Waiting makes up for work at a fixed rate for all alike, so the order of two jobs does
- * not change while both wait and arrival can stand in for the clock. */
+/* Waiting offsets remaining work at the same rate for all jobs, so two waiting jobs keep
+ * their order, and the arrival time serves as the key instead of the current time. */
 static void
 job_place (Queue *queue, QueueJob *job)
 {
@@ -216,8 +216,8 @@
   change_waiting (queue, job, -(int)tasks);
 }
 
-/* The least remaining work goes first over all teams that are within their share; only
- * when all are beyond it, over these. A team alone is never held back by its share. */
+/* The least remaining work goes first among the teams below their share; if there is
+ * none, among all. A team alone is not limited by its share. */
 QueueJob *
 queue_pick (Queue *queue, guint slots)
 {
--- a/src/queue.h
+++ b/src/queue.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The home's queue of one group: jobs by the work that is left of them, with aging,
- * within teams by share. No I/O; the clock is handed in. */
+/* The home's queue of one group: least remaining work first, with aging, under weighted
+ * shares of the teams. No I/O; the time is passed in. */
 #include "jobid.h"
 
 #include <glib.h>
@@ -8,7 +8,6 @@
 typedef struct Queue Queue;
 typedef struct QueueJob QueueJob;
 
-/* Weight and cap of a team, asked of the queue's user. */
 typedef struct
 {
   double weight;
@@ -17,6 +16,7 @@
 
 typedef struct
 {
+  /* Weight and cap of a team. */
   TeamShare (*team_share) (const char *team, gpointer ctx);
 } QueueOps;
 
@@ -26,43 +26,44 @@
   guint32 grant;
   const char *team;
   double task_ms;     /* expected run time of one task */
-  guint job_tasks;    /* tasks of the whole job not yet answered */
-  gint64 arrived_ms;  /* at its holder, for the aging */
+  guint job_tasks;    /* tasks of the whole job that have not ended */
+  gint64 arrived_ms;  /* at its holder; aging counts from here */
   gint64 deadline_ms; /* on the lease clock */
-  gpointer data;      /* the user's own record */
+  gpointer data;      /* user data */
 } QueueJobInit;
 
-/** queue_new - @aging: how many ms of work one ms of waiting makes up for. */
+/** queue_new - @aging: ms of remaining work that one ms of waiting offsets. */
 Queue *queue_new (const QueueOps *ops, gpointer ctx, double aging);
 void queue_free (Queue *queue);
 
 QueueJob *queue_add (Queue *queue, const QueueJobInit *init);
 
-/** queue_remove - the job is gone; its waiting tasks with it. */
+/** queue_remove - free the job, with its waiting and running tasks. */
 void queue_remove (Queue *queue, QueueJob *job);
 
-/** queue_push - @tasks of the job wait to be placed. */
+/** queue_push - @tasks more of the job wait to be placed. */
 void queue_push (Queue *queue, QueueJob *job, guint tasks);
 
-/** queue_drop - @tasks of the job will never start here. */
+/** queue_drop - @tasks waiting tasks of the job will never start here. */
 void queue_drop (Queue *queue, QueueJob *job, guint tasks);
 
-/** queue_hold - @tasks of the job wait elsewhere until pushed again. */
+/** queue_hold - take @tasks waiting tasks out until they are pushed again. */
 void queue_hold (Queue *queue, QueueJob *job, guint tasks);
 
 /**
- * queue_pick - the job whose task is to start next on one of @slots slots.
- * Return: NULL if nothing waits, or only teams at their cap. The task counts as running.
+ * queue_pick - choose the job whose task starts next, and count that task as running.
+ * @slots: all slots of the group, which the teams share.
+ * Return: NULL if nothing waits, or only teams at their cap.
  */
 QueueJob *queue_pick (Queue *queue, guint slots);
 
-/** queue_finished - a task picked before has ended; @again: it waits again instead. */
+/** queue_finished - a picked task has ended or, with @again, waits again. */
 void queue_finished (Queue *queue, QueueJob *job, gboolean again);
 
 /** queue_reconfigure - the aging, or the teams' weights and caps, may have changed. */
 void queue_reconfigure (Queue *queue, double aging);
 
-/** queue_expired - a job that waits and whose deadline is past, or NULL. */
+/** queue_expired - a waiting job past its deadline, or NULL. */
 QueueJob *queue_expired (Queue *queue, gint64 now_ms);
 
 gpointer queue_job_data (const QueueJob *job);
@@ -77,10 +78,9 @@
 
 /**
  * queue_expected_finish - when a new job's last task would end, in ms from now.
- * @team: the job's.
- * @work_ms: the new job's whole work.
- * @task_ms: the expected run time of one task of it.
- * @slots: slots that serve the queue.
+ * @work_ms: the new job's expected run time, summed over its tasks.
+ * @task_ms: the expected run time of one of its tasks.
+ * @slots: all slots of the group.
  */
 double queue_expected_finish (Queue *queue,
                               const char *team,
@@ -89,9 +89,7 @@
                               guint slots,
                               gint64 now_ms);
 
-/** queue_team_running - tasks of a team that run now. */
 guint queue_team_running (const Queue *queue, const char *team);
-/** queue_each_team - call @each for every team that the queue knows. */
 void queue_each_team (
     const Queue *queue,
     void (*each) (const char *team, guint waiting, guint running, gpointer ctx),
--- a/src/queue_estimate.c
+++ b/src/queue_estimate.c
@@ -1,14 +1,14 @@
-/* How long a new job would take: the work of its team that goes before it, over the slots
- * that the other teams leave. */
+/* Estimates when a new job would finish: the work of its team that goes before it, over
+ * the slots that the other teams leave. */
 #include "queue_parts.h"
 
 #include <math.h>
 #include <string.h>
 
-#define UNKNOWN_SLOTS_WAIT_MS 1e9
-#define ARRIVAL_MEMORY_MS 10000.0
-/* However much smaller work arrives, some of a slot's time is left. */
-#define LEAST_SHARE_LEFT 0.05
+#define NO_SLOTS_FINISH_MS 1e9
+#define ARRIVAL_DECAY_MS 10000.0
+/* Arriving smaller jobs leave a job at least this part of its slots. */
+#define MIN_SHARE_LEFT 0.05
 
 static guint
 work_class (double work_ms)
@@ -39,13 +39,13 @@
 }
 
 static void
-fade (TeamWork *work, gint64 now_ms)
+decay (TeamWork *work, gint64 now_ms)
 {
-  double kept = exp (-(double)MAX (now_ms - work->faded_ms, 0) / ARRIVAL_MEMORY_MS);
+  double kept = exp (-(double)MAX (now_ms - work->decayed_ms, 0) / ARRIVAL_DECAY_MS);
 
   for (guint i = 0; i < WORK_CLASSES; i++)
     work->rate[i] *= kept;
-  work->faded_ms = MAX (work->faded_ms, now_ms);
+  work->decayed_ms = MAX (work->decayed_ms, now_ms);
 }
 
 void
@@ -53,26 +53,27 @@
 {
   double work_ms = init->task_ms * init->job_tasks;
 
-  fade (&team->work, init->arrived_ms);
-  team->work.rate[work_class (work_ms)] += work_ms / ARRIVAL_MEMORY_MS;
+  decay (&team->work, init->arrived_ms);
+  team->work.rate[work_class (work_ms)] += work_ms / ARRIVAL_DECAY_MS;
 }
 
-/* Slots that the team asks for over the time to come. */
+/* Slots that the team can use: its arriving work, and its waiting work spread over
+ * ARRIVAL_DECAY_MS. */
 static double
 team_demand (QueueTeam *team, gint64 now_ms)
 {
   double demand = 0;
 
-  fade (&team->work, now_ms);
+  decay (&team->work, now_ms);
   for (guint i = 0; i < WORK_CLASSES; i++)
-    demand += team->work.rate[i] + MAX (team->work.waiting_ms[i], 0) / ARRIVAL_MEMORY_MS;
+    demand += team->work.rate[i] + MAX (team->work.waiting_ms[i], 0) / ARRIVAL_DECAY_MS;
   return demand;
 }
 
-/* Give teams that ask for less than their part what they ask for.
- * Return: whether there was one, so that the others' parts have grown. */
+/* One round of weighted max-min fairness: teams whose demand is within their share get
+ * it. Return: whether there was one, which raises the others' shares. */
 static gboolean
-satisfy_modest (Queue *queue, const char *name, double *slots, double *weights)
+satisfy_small_demands (Queue *queue, const char *name, double *slots, double *weights)
 {
   GHashTableIter iter;
   QueueTeam *team;
@@ -92,8 +93,8 @@
   return found;
 }
 
-/* Slots that the team would get if it asked for all: its part by weight of what the teams
- * that ask for less than their parts leave. */
+/* Slots that the team would get with unlimited demand: its share, by weight, of what the
+ * teams with a demand below their own shares leave. */
 static double
 team_slots (Queue *queue, const char *name, double slots, gint64 now_ms)
 {
@@ -110,16 +111,16 @@
       if (strcmp (team->name, name) != 0)
         weights += team->share.weight;
     }
-  while (satisfy_modest (queue, name, &slots, &weights))
+  while (satisfy_small_demands (queue, name, &slots, &weights))
     ;
   slots *= share.weight / weights;
   return share.max_running > 0 ? MIN (slots, share.max_running) : slots;
 }
 
-/* What waits and ranks first in its team goes before a new job; so does smaller work that
- * arrives while it waits, which stretches its time by the part of the slots that this
- * work takes. Other teams' work does not, beyond their parts: a job of a team within its
- * share must not be refused for what others have in the queue. */
+/* Smaller waiting jobs of its team go before the new job. So do smaller ones that arrive
+ * meanwhile; they slow it down by the part of the slots that they take. Of its own class,
+ * half goes before it. Other teams count only up to their shares: a job of a team within
+ * its share must not be refused because of what others have queued. */
 double
 queue_expected_finish (Queue *queue,
                        const char *team_name,
@@ -138,13 +139,13 @@
   double left;
 
   if (slots == 0)
-    return UNKNOWN_SLOTS_WAIT_MS;
+    return NO_SLOTS_FINISH_MS;
   own_slots = team_slots (queue, team_name, slots, now_ms);
   for (guint i = 0; i < class; i++)
     {
       before += work->waiting_ms[i];
       arriving += work->rate[i];
     }
-  left = MAX (1 - arriving / own_slots, LEAST_SHARE_LEFT);
+  left = MAX (1 - arriving / own_slots, MIN_SHARE_LEFT);
   return MAX (task_ms, (MAX (before, 0) + work_ms) / own_slots / left);
 }
--- a/src/queue_parts.h
+++ b/src/queue_parts.h
@@ -1,34 +1,34 @@
 #pragma once
-/* What the parts of the queue share. queue.c orders and picks, queue_estimate.c tells how
- * long a job would take. */
+/* Internals of the queue. queue.c orders and picks, queue_estimate.c estimates when a new
+ * job would finish. */
 #include "queue.h"
 
 #include <sys/queue.h>
 
-/* Work is summed in classes of one job's work, by powers of two. */
+/* Work is summed in classes of job size, by powers of two. */
 #define WORK_CLASSES 32
 
-/* What one team asks for: what waits, and what has lately arrived. */
+/* Work of one team by class: what waits, and the arrival rate (decaying average). */
 typedef struct
 {
   double waiting_ms[WORK_CLASSES];
-  double rate[WORK_CLASSES]; /* ms of work a ms */
-  gint64 faded_ms;           /* when the rates were last faded */
+  double rate[WORK_CLASSES]; /* ms of work per ms */
+  gint64 decayed_ms;         /* when the rates were last decayed */
 } TeamWork;
 
 typedef struct QueueTeam
 {
-  TAILQ_ENTRY (QueueTeam) link; /* while tasks of it wait */
+  TAILQ_ENTRY (QueueTeam) link; /* of the active teams, if listed */
   char *name;
-  GSequence *jobs; /* QueueJob with waiting tasks, first to start first */
+  GSequence *jobs; /* QueueJob with waiting tasks, in order of start */
   QueueJob *first; /* of jobs, NULL if none */
-  TeamShare share; /* as asked when it was listed, or at queue_reconfigure () */
+  TeamShare share; /* as of its listing or the last queue_reconfigure () */
   TeamWork work;
-  double demand;      /* slots it asks for, while an estimate is made */
-  gboolean satisfied; /* it gets all of that */
+  double demand;      /* in slots; used during an estimate */
+  gboolean satisfied; /* its demand is within its share; likewise */
   guint waiting;
   guint running;
-  gboolean listed;
+  gboolean listed; /* has waiting tasks */
 } QueueTeam;
 
 struct QueueJob
@@ -42,7 +42,7 @@
   guint running;
   double order;
   guint work_class;
-  double work_ms; /* of its waiting tasks, as summed in its class */
+  double work_ms; /* of its waiting tasks, as counted in its class */
 };
 
 struct Queue
--- a/tests/home_scene.c
+++ b/tests/home_scene.c
@@ -21,7 +21,7 @@
 {
   Scene *scene = ctx;
 
-  return !scene->holder_silent;
+  return !scene->holder_unresponsive;
 }
 
 static guint64
@@ -312,13 +312,12 @@
   gw__ack__free_unpacked (ack, NULL);
 }
 
-/* The owner's word on a task, as if it had just arrived. */
 void
-scene_owner_says (Scene *scene,
-                  guint32 index,
-                  guint32 attempt,
-                  Gw__Outcome__Kind kind,
-                  Gw__Outcome__Reason reason)
+scene_owner_reports (Scene *scene,
+                     guint32 index,
+                     guint32 attempt,
+                     Gw__Outcome__Kind kind,
+                     Gw__Outcome__Reason reason)
 {
   JobKey key = { HOLDER, 1 };
   Gw__Outcome *outcome = message_not_run (&key, index, attempt, reason, 0);
@@ -347,7 +346,7 @@
 }
 
 const Gw__Outcome *
-scene_told (const Scene *scene, guint i)
+scene_reported (const Scene *scene, guint i)
 {
   return g_ptr_array_index (scene->outcomes, i);
 }
@@ -363,7 +362,7 @@
 }
 
 void
-scene_assert_nothing_left (Scene *scene)
+scene_assert_idle (Scene *scene)
 {
   guint left = 0;
 
--- a/tests/home_scene.h
+++ b/tests/home_scene.h
@@ -1,5 +1,6 @@
 #pragma once
-/* The home between a holder and a slot owner that the test plays, over a real link. */
+/* Test fixture: a home between a holder and a slot owner played by the test. The slot
+ * owner is connected by a real link. */
 #include "home.h"
 #include "link.h"
 
@@ -9,7 +10,7 @@
 #define GROUP "echo/0"
 #define SLOTS 4
 
-/* The home's side of the link, the owner's side, and all that either was sent. */
+/* Both sides of the link, and what the holder and the slot owner were sent. */
 typedef struct
 {
   struct event_base *base;
@@ -21,13 +22,13 @@
   Gw__Backend info;
   LinkConfig home_links;
   LinkConfig agent_links;
-  Link *accepted; /* until it is the backend's */
-  Link *agent;
-  GArray *started; /* guint32, the attempts */
+  Link *accepted;  /* the home's side */
+  Link *agent;     /* the slot owner's side */
+  GArray *started; /* guint32, the attempts of received starts */
   guint64 query;   /* of the last fence */
   guint fences;
-  GPtrArray *outcomes; /* Gw__Outcome, as told to the holder */
-  gboolean holder_silent;
+  GPtrArray *outcomes; /* Gw__Outcome, sent to the holder */
+  gboolean holder_unresponsive;
 } Scene;
 
 /** scene_new - a home with one backend server, its agent linked. */
@@ -35,33 +36,33 @@
 void scene_free (Scene *scene);
 Backend *scene_backend (Scene *scene);
 
-/** scene_connect_agent - link the agent, again under the same incarnation. */
+/** scene_connect_agent - link the agent, always under the same incarnation. */
 void scene_connect_agent (Scene *scene);
 void scene_disconnect_agent (Scene *scene);
 
 /** scene_grant - the holder grants a job of @n tasks, as grant 1. */
 void scene_grant (Scene *scene, guint n);
 
-/** scene_grant_and_finish - one frame that grants it again and says that it has ended. */
+/** scene_grant_and_finish - one frame with the same grant and the job's final ack. */
 void scene_grant_and_finish (Scene *scene, guint n);
 
-/** scene_owner_says - the owner's word on a task, as if it had just arrived. */
-void scene_owner_says (Scene *scene,
-                       guint32 index,
-                       guint32 attempt,
-                       Gw__Outcome__Kind kind,
-                       Gw__Outcome__Reason reason);
+/** scene_owner_reports - pass the home an outcome from the slot owner. */
+void scene_owner_reports (Scene *scene,
+                          guint32 index,
+                          guint32 attempt,
+                          Gw__Outcome__Kind kind,
+                          Gw__Outcome__Reason reason);
 
-/** scene_reply_started - answer the last fence: this attempt of the task has started. */
+/** scene_reply_started - answer the last fence: the task was started as @attempt. */
 void scene_reply_started (Scene *scene, guint32 index, guint32 attempt);
 
-/** scene_told - the i-th outcome that the holder was told. */
-const Gw__Outcome *scene_told (const Scene *scene, guint i);
+/** scene_reported - the i-th outcome that the holder was sent. */
+const Gw__Outcome *scene_reported (const Scene *scene, guint i);
 
-/** scene_assert_nothing_left - no task waits, is placed or takes a slot. */
-void scene_assert_nothing_left (Scene *scene);
+/** scene_assert_idle - no task waits, is placed or takes a slot. */
+void scene_assert_idle (Scene *scene);
 
 typedef gboolean (*SceneCondition) (Scene *scene);
 
-/** scene_wait - run the loop until the condition holds; fails after a bound. */
+/** scene_wait - run the event loop until @condition holds; fails after 10 s. */
 void scene_wait (Scene *scene, SceneCondition condition);
--- a/tests/test-decisions.c
+++ b/tests/test-decisions.c
@@ -1,5 +1,5 @@
-/* The pure decisions: placement, order of the queue, shares, health, budget, run times.
- */
+/* Decisions without I/O: placement, queue order, shares, health, retry budget, run times,
+ * rendezvous hashing. */
 #include "budget.h"
 #include "cases.h"
 #include "health.h"
@@ -35,16 +35,15 @@
     100,
     0,
     PLACEMENT_NONE },
-  /* With a long queue a usual slot is further away than a slow run. */
+  /* With a long queue the wait for a normal server is longer than a slow run. */
   { "straggler-helps",
     { { 8, 8, 4, FALSE, TRUE }, { 0, 8, 1, FALSE, TRUE } },
     2,
     100,
     40,
     0 },
-  /* Symptom: a job waits for ever although every slot is free.
-   * Sequence: tasks of 0 ms, each measured as 0 or 1 ms, so that all servers seem slow.
-   * Cause: slowness judged against an expectation and not against the peers. */
+  /* A job waited forever although every slot was free: tasks of 0 ms, measured as 0 or
+   * 1 ms, made all servers look slow against the expectation. Peers must be compared. */
   { "all-slow-alike",
     { { 8, 8, 1.7, FALSE, TRUE }, { 8, 8, 1.8, FALSE, TRUE } },
     2,
@@ -111,7 +110,7 @@
   queue_free (queue);
 }
 
-/* Symptom: a wide job never ends while narrow ones keep coming. */
+/* Without aging a large job never ends while small ones keep arriving. */
 static void
 test_aging (void)
 {
@@ -138,14 +137,14 @@
   { "capped", { "capped", "b" }, 8, { 2, 6 } },
 };
 
-/* Symptom: one team's many jobs take every slot. */
+/* Without shares one team's many jobs take every slot. */
 static void
 test_shares (gconstpointer data)
 {
   const ShareCase *c = data;
   Queue *queue = queue_new (&queue_ops, NULL, 0.1);
 
-  /* The first team has by far the less remaining work: without shares it gets all. */
+  /* The first team has far less remaining work: without shares it gets all slots. */
   for (guint i = 0; i < 30; i++)
     add_job (queue, i, c->teams[0], 1, 0);
   add_job (queue, 100, c->teams[1], 90, 0);
@@ -175,17 +174,16 @@
 
   for (guint i = 0; i < 10; i++)
     add_job (queue, i, "a", 40, 0);
-  /* 40 s of work over 8 slots; a small job goes before it all. */
+  /* 40 s of work wait for 8 slots; a small job goes before all of it. */
   g_assert_cmpfloat (queue_expected_finish (queue, "a", 100, 100, 8, 0), ==, 100);
-  /* For a large one, work arrives at 4 slots' worth: half of its time is left to it. */
+  /* For a large job: smaller work arrives at a rate of 4 slots, which leaves it half. */
   g_assert_cmpfloat_with_epsilon (queue_expected_finish (queue, "a", 1e6, 100, 8, 0),
                                   (40000 + 1e6) / 8 / 0.5, 1);
-  /* Symptom: the last jobs of a burst are refused although they would make their
-   * deadline. Cause: equal work that has arrived was counted as waiting and as still to
-   * come. */
+  /* The last jobs of a burst were refused although they would meet their deadline: work
+   * of the same class was counted both as waiting and as arriving. */
   g_assert_cmpfloat_with_epsilon (queue_expected_finish (queue, "a", 4000, 100, 8, 0),
                                   (20000 + 4000) / 8.0, 1);
-  /* Without arrivals for long, all of it. */
+  /* Long after the last arrival it gets all slots. */
   g_assert_cmpfloat_with_epsilon (
       queue_expected_finish (queue, "a", 1e6, 100, 8, 1000000), (40000 + 1e6) / 8, 1);
   queue_free (queue);
@@ -194,7 +192,7 @@
 typedef struct
 {
   const char *name;
-  double peers_failing;
+  double peers_failure_rate;
   guint backends;
   guint ejected;
   gboolean eject;
@@ -211,7 +209,7 @@
 test_health (gconstpointer data)
 {
   const HealthCase *c = data;
-  HealthPeers peers = { c->peers_failing, c->backends, c->ejected };
+  HealthPeers peers = { c->peers_failure_rate, c->backends, c->ejected };
   Health health = { 0 };
   gboolean ejected = FALSE;
 
@@ -221,10 +219,9 @@
   g_assert_cmpuint (health_capacity (&health, 8, 1001), ==, c->eject ? 0 : 8);
 }
 
-/* Symptom: under overload a team with four times the weight got 0.67 of its quota, while
- *   one with the least got 1.9 times its own.
- * Cause: a job was refused for what other teams had in the queue, though their shares let
- *   it through in time. */
+/* Under overload a team with four times the weight got 0.67 of its quota, and the one
+ * with the least got 1.9 times its own: jobs were refused for what other teams had
+ * queued, although by the shares they would have finished in time. */
 static void
 test_expected_finish_of_teams (void)
 {
@@ -232,15 +229,15 @@
 
   for (guint i = 0; i < 10; i++)
     add_job (queue, i, "a", 40, 0);
-  /* "a" asks for all 8 slots: an equal team gets 4 of them, one of weight 3 gets 6. */
+  /* "a" can use all 8 slots: an equal team gets 4 of them, one of weight 3 gets 6. */
   g_assert_cmpfloat_with_epsilon (queue_expected_finish (queue, "b", 6000, 100, 8, 0),
                                   1500, 1);
   g_assert_cmpfloat_with_epsilon (queue_expected_finish (queue, "heavy", 6000, 100, 8, 0),
                                   1000, 1);
-  /* A cap binds whatever is free. */
+  /* A cap applies even if slots are free. */
   g_assert_cmpfloat_with_epsilon (
       queue_expected_finish (queue, "capped", 6000, 100, 8, 0), 3000, 1);
-  /* "b" asks for one slot, less than its part: what it leaves goes to "a". */
+  /* "b" needs one slot, less than its share; the rest goes to "a". */
   add_job (queue, 10, "b", 50, 0);
   g_assert_cmpfloat_with_epsilon (queue_expected_finish (queue, "a", 1e6, 100, 8, 0),
                                   (40000 + 1e6) / 7 / (1 - 4 / 7.0), 1);
@@ -281,7 +278,7 @@
   g_assert_cmpuint (allowed, <=, 100);
 }
 
-/* Declared run times off by ten must not stay believed. */
+/* Declared run times wrong by a factor of 10 or more are corrected by observed ones. */
 static void
 test_runtimes (void)
 {
@@ -298,7 +295,7 @@
   g_assert_cmpfloat (runtimes_estimate (&runtimes, 0), <, 800);
 }
 
-/* The loss of one entry moves only its own groups. */
+/* The loss of one entry must move only its own groups. */
 static void
 test_rendezvous (void)
 {
--- a/tests/test-home.c
+++ b/tests/test-home.c
@@ -1,5 +1,5 @@
-/* The home alone, between a holder and a slot owner that the test plays: orders of events
- * that real processes meet too seldom to be tested by them. */
+/* The home between a holder and a slot owner played by the test, for sequences of events
+ * that are too rare to test with real processes. */
 #include "clock.h"
 #include "home_scene.h"
 #include "owner.h"
@@ -23,16 +23,15 @@
 }
 
 static gboolean
-one_told (Scene *scene)
+one_reported (Scene *scene)
 {
   return scene->outcomes->len == 1;
 }
 
-/* Symptom: tasks of a job that was answered start a second time, on other owners.
- * Sequence: the link to the holder breaks while outcomes are on their way; over the new
- *   one the holder grants the job again and hears the outcomes in the same turn, so that
- *   the job ends there; one frame brings the grant and the word that the job has ended.
- * Cause: the end taken first, which forgets the job; the grant then looks new. */
+/* Tasks of an answered job ran a second time on other backend servers. After a lost link
+ * the holder repeats the grant, receives the last outcomes in the same event-loop
+ * iteration and sends grant and final ack in one frame. The ack, handled first, frees the
+ * job, and the grant then looks new. */
 static void
 test_granted_and_finished (void)
 {
@@ -40,21 +39,19 @@
 
   scene_grant (scene, 1);
   scene_wait (scene, one_started);
-  scene_owner_says (scene, 0, g_array_index (scene->started, guint32, 0),
-                    GW__OUTCOME__KIND__ANSWERED, GW__OUTCOME__REASON__NONE);
+  scene_owner_reports (scene, 0, g_array_index (scene->started, guint32, 0),
+                       GW__OUTCOME__KIND__ANSWERED, GW__OUTCOME__REASON__NONE);
   g_assert_cmpuint (scene->outcomes->len, ==, 1);
   scene_grant_and_finish (scene, 1);
   g_assert_cmpuint (scene_backend (scene)->placed, ==, 0);
-  scene_assert_nothing_left (scene);
+  scene_assert_idle (scene);
   scene_free (scene);
 }
 
-/* Symptom: a slot is counted as taken for good; the queue never empties.
- * Sequence: a start is sent, the link breaks and the start is lost; the holder, which
- *   also lost this home, settles and grants the task to another, which starts it at the
- *   same owner; this home reaches the owner again and asks what became of its start.
- * Cause: the owner names the task as started, under the other home's attempt, and no
- *   outcome under our own attempt ever follows. */
+/* A slot stayed taken forever and the queue never emptied. A start is lost with its link;
+ * the holder, which also lost this home, reconciles and grants the task to another home,
+ * which starts it at the same slot owner. The owner answers this home's fence with the
+ * other attempt, and no outcome under this home's own attempt ever follows. */
 static void
 test_started_by_another (void)
 {
@@ -66,16 +63,15 @@
   scene_connect_agent (scene);
   scene_wait (scene, is_fenced);
   scene_reply_started (scene, 0, ATTEMPT_MAKE (2, 1));
-  scene_wait (scene, one_told);
-  g_assert_cmpint (scene_told (scene, 0)->kind, ==, GW__OUTCOME__KIND__MAY_HAVE_RUN);
-  scene_assert_nothing_left (scene);
+  scene_wait (scene, one_reported);
+  g_assert_cmpint (scene_reported (scene, 0)->kind, ==, GW__OUTCOME__KIND__MAY_HAVE_RUN);
+  scene_assert_idle (scene);
   scene_free (scene);
 }
 
-/* Symptom: the outcome of a task that runs on is thrown away after a broken link.
- * Sequence: a start, the link breaks while the task runs, the owner is reached again and
- *   names the task under our attempt; then it ends.
- * Cause: the answer "started" taken for an end. */
+/* The outcome of a running task was dropped after a lost link: the slot owner, linked
+ * again, reported the task as started under this home's attempt, and the home took that
+ * for its end. */
 static void
 test_started_by_us (void)
 {
@@ -89,19 +85,18 @@
   scene_connect_agent (scene);
   scene_wait (scene, is_fenced);
   scene_reply_started (scene, 0, attempt);
-  scene_owner_says (scene, 0, attempt, GW__OUTCOME__KIND__ANSWERED,
-                    GW__OUTCOME__REASON__NONE);
-  scene_wait (scene, one_told);
-  g_assert_cmpint (scene_told (scene, 0)->kind, ==, GW__OUTCOME__KIND__ANSWERED);
-  scene_assert_nothing_left (scene);
+  scene_owner_reports (scene, 0, attempt, GW__OUTCOME__KIND__ANSWERED,
+                       GW__OUTCOME__REASON__NONE);
+  scene_wait (scene, one_reported);
+  g_assert_cmpint (scene_reported (scene, 0)->kind, ==, GW__OUTCOME__KIND__ANSWERED);
+  scene_assert_idle (scene);
   scene_free (scene);
 }
 
-/* Symptom: the home stops with a broken count, or a task waits for good.
- * Sequence: more tasks than slots; the holder falls silent, so the next pick takes the
- *   job out of the queue; the owner then refuses a start; the holder is heard again.
- * Cause: the refused task goes back to the queue while its job is out of it, and comes
- *   back a second time with the others. */
+/* The home aborted on a wrong count, or a task waited forever. The holder stops
+ * responding and its job leaves the queue; the slot owner then refuses a start. The
+ * refused task went back to the queue at once, and a second time with its job when the
+ * holder responded. */
 static void
 test_refused_while_held (void)
 {
@@ -113,31 +108,30 @@
   scene_grant (scene, 2);
   scene_wait (scene, one_started);
   first = g_array_index (scene->started, guint32, 0);
-  scene->holder_silent = TRUE;
+  scene->holder_unresponsive = TRUE;
   backend->info->slots = SLOTS;
   home_slots_freed (scene->home, backend->group);
-  scene_owner_says (scene, 0, first, GW__OUTCOME__KIND__NOT_RUN,
-                    GW__OUTCOME__REASON__BUSY);
-  backend->hold_ms = 0;
+  scene_owner_reports (scene, 0, first, GW__OUTCOME__KIND__NOT_RUN,
+                       GW__OUTCOME__REASON__BUSY);
+  backend->backoff_until_ms = 0;
   g_array_set_size (scene->started, 0);
   home_slots_freed (scene->home, backend->group);
   g_assert_cmpuint (backend->placed, ==, 0);
-  scene->holder_silent = FALSE;
+  scene->holder_unresponsive = FALSE;
   home_tick (scene->home, clock_now_ms ());
   g_assert_cmpuint (backend->placed, ==, 2);
   scene_wait (scene, two_started);
   for (guint32 i = 0; i < 2; i++)
-    scene_owner_says (scene, i, g_array_index (scene->started, guint32, i),
-                      GW__OUTCOME__KIND__ANSWERED, GW__OUTCOME__REASON__NONE);
+    scene_owner_reports (scene, i, g_array_index (scene->started, guint32, i),
+                         GW__OUTCOME__KIND__ANSWERED, GW__OUTCOME__REASON__NONE);
   g_assert_cmpuint (scene->outcomes->len, ==, 2);
-  scene_assert_nothing_left (scene);
+  scene_assert_idle (scene);
   scene_free (scene);
 }
 
-/* Symptom: a task starts again under a number it had before, and is refused for good or
- *   taken for a repetition.
- * Sequence: an owner that stays busy refuses a task more than 65,535 times.
- * Cause: the attempt's low half holds 16 bits and would wrap. */
+/* The low half of an attempt number has 16 bits: it must not wrap when a busy slot owner
+ * refuses a task more than 65,535 times. A reused number is refused for good or taken for
+ * a repeated start. */
 static void
 test_attempts_used_up (void)
 {
@@ -150,15 +144,16 @@
     {
       g_assert_cmpuint (backend->placed, ==, 1);
       g_assert_cmpuint (++placements, <=, G_MAXUINT16);
-      scene_owner_says (scene, 0, ATTEMPT_MAKE (1, placements),
-                        GW__OUTCOME__KIND__NOT_RUN, GW__OUTCOME__REASON__BUSY);
-      backend->hold_ms = 0;
+      scene_owner_reports (scene, 0, ATTEMPT_MAKE (1, placements),
+                           GW__OUTCOME__KIND__NOT_RUN, GW__OUTCOME__REASON__BUSY);
+      backend->backoff_until_ms = 0;
       home_slots_freed (scene->home, backend->group);
     }
   g_assert_cmpuint (placements, ==, G_MAXUINT16);
-  g_assert_cmpint (scene_told (scene, 0)->kind, ==, GW__OUTCOME__KIND__NOT_RUN);
-  g_assert_cmpint (scene_told (scene, 0)->reason, ==, GW__OUTCOME__REASON__HANDED_BACK);
-  scene_assert_nothing_left (scene);
+  g_assert_cmpint (scene_reported (scene, 0)->kind, ==, GW__OUTCOME__KIND__NOT_RUN);
+  g_assert_cmpint (scene_reported (scene, 0)->reason, ==,
+                   GW__OUTCOME__REASON__HANDED_BACK);
+  scene_assert_idle (scene);
   scene_free (scene);
 }
 
@@ -177,11 +172,10 @@
   *(guint64 *)ctx = task->receiver;
 }
 
-/* Symptom: a job fails at its deadline although all its tasks were answered.
- * Sequence: a home is lost, its holder grants a task to a second one, which starts it and
- *   is lost too; the holder claims the outcome; the first home wakes and asks the owner
- *   what became of its own start.
- * Cause: its question, though about an earlier attempt, takes the outcome over. */
+/* A job failed at its deadline although all its tasks were answered. A second home starts
+ * a task and is lost; the holder's fence directs the outcome to itself. The first home
+ * resumes and sends a fence for its own earlier attempt, which must not redirect the
+ * outcome again. */
 static void
 test_late_question (void)
 {
@@ -207,7 +201,7 @@
 typedef struct
 {
   guint started;
-  guint refused; /* for want of memory, as not run */
+  guint refused; /* as not run, reason MEMORY */
 } Bounded;
 
 static void
@@ -231,10 +225,9 @@
                       && task->reason == GW__OUTCOME__REASON__MEMORY;
 }
 
-/* Symptom: an agent whose outcomes nobody fetches grows until its machine ends it, and
- * all that it remembers is lost. Sequence: large answers wait for their acknowledgement
- * beyond the bound; a start comes; the answers are acknowledged; the start comes again.
- * Cause: answers held without a bound. */
+/* An agent kept unacknowledged answers without a bound, until its machine killed it and
+ * its records were lost. Beyond the bound it must refuse starts until the answers are
+ * acknowledged. */
 static void
 test_memory_bound (void)
 {
