--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -38,7 +38,7 @@
 
 mutant owner-starts-again src/owner.c 'if (task != NULL && task->state != OWNER_REFUSED)' \
   'if (task != NULL && task->state == OWNER_DONE && task->acked)' test-properties ''
-mutant no-settlement src/settle.c 'i < roster->n_backends; i++)' \
+mutant no-settlement src/reconcile.c 'i < roster->n_backends; i++)' \
   'i < roster->n_backends && FALSE; i++)' test-once /once/kill-home
 mutant lost-agent-runs-elsewhere src/home_owners.c \
   'task->backend = NULL;
--- a/src/entry.c
+++ b/src/entry.c
@@ -108,7 +108,7 @@
 nothing_in_flight (const Entry *entry)
 {
   return holder_open_jobs (entry->holder) == 0 && home_open_tasks (entry->home) == 0
-         && callers_open (entry->callers) == 0 && settle_open (entry->settle) == 0;
+         && callers_open (entry->callers) == 0 && reconcile_open (entry->settle) == 0;
 }
 
 static void
@@ -159,7 +159,7 @@
     }
   home_tick (entry->home, now);
   holder_tick (entry->holder, now);
-  settle_tick (entry->settle, now);
+  reconcile_tick (entry->settle, now);
   if (now - entry->loads_sent_ms >= LOADS_MS)
     {
       entry->loads_sent_ms = now;
@@ -272,12 +272,12 @@
       = { entry->base,    &entry->links,           entry->incarnation,
           settings->zone, settings->agent_lost_ms, settings->announcement_ms };
   HomeInit home = { entry->base, settings->timeout_ms, entry->incarnation };
-  SettleInit settle = { settings->agent_lost_ms };
+  ReconcileInit settle = { settings->agent_lost_ms };
 
   entry->backends = backends_new (&backends, &entry_backends_ops, entry);
   entry->home = home_new (&home, entry->backends, &entry_home_ops, entry);
   entry->holder = holder_new (entry->incarnation, &entry_holder_ops, entry);
-  entry->settle = settle_new (&settle, &entry->links, entry->holder);
+  entry->settle = reconcile_new (&settle, &entry->links, entry->holder);
 }
 
 static void
@@ -335,7 +335,7 @@
   callers_free (entry->callers);
   operators_free (entry->operators);
   claims_free (entry->claims);
-  settle_free (entry->settle);
+  reconcile_free (entry->settle);
   backends_free (entry->backends);
   entry_deliver (entry);
   home_free (entry->home);
--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -13,7 +13,7 @@
     {
       Gw__RosterAck *ack = g_new (Gw__RosterAck, 1);
 
-      settle_roster (entry->settle, member->incarnation, frame->rosters[i]);
+      reconcile_set_roster (entry->settle, member->incarnation, frame->rosters[i]);
       holder_learn_group (entry->holder, frame->rosters[i]->group, 0);
       gw__roster_ack__init (ack);
       ack->group = g_strdup (frame->rosters[i]->group);
@@ -106,7 +106,7 @@
 {
   const Gw__Hello *hello = link_peer (link);
 
-  if (hello->backend == NULL || !settle_owns_link (entry->settle, link))
+  if (hello->backend == NULL || !reconcile_owns_link (entry->settle, link))
     return NULL;
   return backends_find (entry->backends, hello->backend);
 }
@@ -123,8 +123,8 @@
     take_agent_outcome (entry, link, sender, frame->outcomes[i]);
   for (gsize i = 0; i < frame->n_fence_replies; i++)
     {
-      if (settle_owns_link (entry->settle, link))
-        settle_reply (entry->settle, link, frame->fence_replies[i]);
+      if (reconcile_owns_link (entry->settle, link))
+        reconcile_fence_reply (entry->settle, link, frame->fence_replies[i]);
       else if (backend != NULL)
         home_fence_reply (entry->home, backend, frame->fence_replies[i]);
     }
@@ -159,7 +159,7 @@
     {
       members_link_up (entry->members, link);
     }
-  else if (!settle_link_up (entry->settle, link))
+  else if (!reconcile_link_up (entry->settle, link))
     {
       backends_link_up (entry->backends, link);
       members_send_entries (entry->members, link);
@@ -174,7 +174,7 @@
   Entry *entry = ctx;
 
   if (!members_link_down (entry->members, link, end)
-      && !settle_link_down (entry->settle, link, end))
+      && !reconcile_link_down (entry->settle, link, end))
     backends_link_down (entry->backends, link, end);
   forget_stranger (entry, link);
 }
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -100,11 +100,11 @@
 }
 
 static void
-holder_settle (guint64 home, const char *group, gpointer ctx)
+holder_reconcile (guint64 home, const char *group, gpointer ctx)
 {
   Entry *entry = ctx;
 
-  settle_begin (entry->settle, home, group);
+  reconcile_begin (entry->settle, home, group);
 }
 
 static void
@@ -125,7 +125,7 @@
 
 const HolderOps entry_holder_ops
     = { holder_home_of, holder_grant,   holder_cancel_at, holder_ack,
-        holder_settle,  holder_release, get_fleet };
+        holder_reconcile,  holder_release, get_fleet };
 
 /* Home to holder. */
 
@@ -428,7 +428,7 @@
 
   home_holder_lost (entry->home, incarnation);
   holder_home_lost (entry->holder, incarnation);
-  settle_forget_home (entry->settle, incarnation);
+  reconcile_forget_home (entry->settle, incarnation);
   forget_roster_acks (entry, incarnation);
 }
 
--- a/src/entry_parts.h
+++ b/src/entry_parts.h
@@ -11,7 +11,7 @@
 #include "listen.h"
 #include "members.h"
 #include "operators.h"
-#include "settle.h"
+#include "reconcile.h"
 #include "supervisor.h"
 
 /* An outcome that this entry as home tells itself as holder, or that waits for the next
@@ -37,7 +37,7 @@
   Backends *backends;
   Home *home;
   Holder *holder;
-  Settle *settle;
+  Reconcile *settle;
   Claims *claims;
   Callers *callers;
   Operators *operators;
--- a/src/holder.h
+++ b/src/holder.h
@@ -85,7 +85,7 @@
   void (*grant) (guint64 home, Gw__Grant *grant, gpointer ctx);
   void (*cancel) (guint64 home, Gw__Cancel *cancel, gpointer ctx);
   void (*ack) (guint64 home, Gw__Ack *ack, gboolean urgent, gpointer ctx);
-  /* Settle the open tasks of a lost home; holder_settled () follows for each part. */
+  /* Reconcile the open tasks of a lost home; holder_reconciled () follows for each part. */
   void (*settle) (guint64 home, const char *group, gpointer ctx);
   /* A keyed job ended without having run: its claim may go. */
   void (*release) (const HeldJob *job, gpointer ctx);
@@ -158,10 +158,10 @@
 holder_task_open (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
 
 /**
- * holder_settled - all slot owners have been asked about a part.
+ * holder_reconciled - all slot owners have been asked about a part.
  * @proved: every one has answered, so that what none claimed did not start.
  */
-void holder_settled (Holder *holder, const JobKey *key, guint32 grant, gboolean proved);
+void holder_reconciled (Holder *holder, const JobKey *key, guint32 grant, gboolean proved);
 
 /** holder_task_lost - the owner that claimed the task is gone. */
 void holder_task_lost (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
--- a/src/holder_parts.h
+++ b/src/holder_parts.h
@@ -1,7 +1,7 @@
 #pragma once
 /* What the parts of the holder share: its records, and the steps that one part asks of
  * another. holder.c takes and keeps jobs, holder_outcomes.c gathers and ends them,
- * holder_settle.c deals with homes lost and found, holder_groups.c knows the groups. */
+ * holder_reconcile.c deals with homes lost and found, holder_groups.c knows the groups. */
 #include "holder.h"
 
 struct HeldPart
--- a/src/holder_settle.c
+++ b/src/holder_reconcile.c
@@ -160,7 +160,7 @@
 }
 
 void
-holder_settled (Holder *holder, const JobKey *key, guint32 grant, gboolean proved)
+holder_reconciled (Holder *holder, const JobKey *key, guint32 grant, gboolean proved)
 {
   HeldJob *job = holder_lookup (holder, key);
   HeldPart *part;
--- a/src/settle.c
+++ b/src/reconcile.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "settle"
-#include "settle.h"
+#include "reconcile.h"
 #include "clock.h"
 #include "log.h"
 #include "messages.h"
@@ -47,7 +47,7 @@
 typedef struct Case
 {
   TAILQ_ENTRY (Case) link_entry;
-  Settle *settle;
+  Reconcile *settle;
   guint64 query;
   gint64 begun_ms;
   gboolean agentless; /* some owner died with its home */
@@ -56,9 +56,9 @@
   TAILQ_HEAD (, CaseOwner) owners;
 } Case;
 
-struct Settle
+struct Reconcile
 {
-  SettleInit init;
+  ReconcileInit init;
   const LinkConfig *links;
   Holder *holder;
   guint64 queries;
@@ -72,10 +72,10 @@
   gw__roster__free_unpacked (roster, NULL);
 }
 
-Settle *
-settle_new (const SettleInit *init, const LinkConfig *links, Holder *holder)
+Reconcile *
+reconcile_new (const ReconcileInit *init, const LinkConfig *links, Holder *holder)
 {
-  Settle *settle = g_new0 (Settle, 1);
+  Reconcile *settle = g_new0 (Reconcile, 1);
 
   settle->init = *init;
   settle->links = links;
@@ -118,7 +118,7 @@
 }
 
 void
-settle_free (Settle *settle)
+reconcile_free (Reconcile *settle)
 {
   Case *c;
 
@@ -137,7 +137,7 @@
 }
 
 void
-settle_roster (Settle *settle, guint64 home, const Gw__Roster *roster)
+reconcile_set_roster (Reconcile *settle, guint64 home, const Gw__Roster *roster)
 {
   gsize size = gw__roster__get_packed_size (roster);
   guint8 *bytes = g_malloc (size);
@@ -149,7 +149,7 @@
 }
 
 void
-settle_forget_home (Settle *settle, guint64 home)
+reconcile_forget_home (Reconcile *settle, guint64 home)
 {
   char *prefix = roster_key (home, "");
   GHashTableIter iter;
@@ -226,12 +226,12 @@
     {
       const CasePart *part = g_ptr_array_index (c->parts, i);
 
-      holder_settled (c->settle->holder, &part->key, part->grant, proved);
+      holder_reconciled (c->settle->holder, &part->key, part->grant, proved);
     }
 }
 
 void
-settle_begin (Settle *settle, guint64 home, const char *group)
+reconcile_begin (Reconcile *settle, guint64 home, const char *group)
 {
   char *key = roster_key (home, group);
   const Gw__Roster *roster = g_hash_table_lookup (settle->rosters, key);
@@ -254,7 +254,7 @@
 }
 
 static CaseOwner *
-owner_of_link (const Settle *settle, const Link *link)
+owner_of_link (const Reconcile *settle, const Link *link)
 {
   Case *c;
   CaseOwner *owner;
@@ -267,7 +267,7 @@
 }
 
 gboolean
-settle_owns_link (const Settle *settle, const Link *link)
+reconcile_owns_link (const Reconcile *settle, const Link *link)
 {
   return owner_of_link (settle, link) != NULL;
 }
@@ -289,7 +289,7 @@
 static void
 lose_claimed (CaseOwner *owner)
 {
-  Settle *settle = owner->owner_case->settle;
+  Reconcile *settle = owner->owner_case->settle;
 
   for (guint i = 0; i < owner->claimed->len; i++)
     {
@@ -311,7 +311,7 @@
 }
 
 gboolean
-settle_link_up (Settle *settle, Link *link)
+reconcile_link_up (Reconcile *settle, Link *link)
 {
   CaseOwner *owner = owner_of_link (settle, link);
   const Gw__Hello *hello = link_peer (link);
@@ -334,7 +334,7 @@
 }
 
 gboolean
-settle_link_down (Settle *settle, Link *link, LinkEnd end)
+reconcile_link_down (Reconcile *settle, Link *link, LinkEnd end)
 {
   CaseOwner *owner = owner_of_link (settle, link);
 
@@ -398,7 +398,7 @@
 }
 
 void
-settle_reply (Settle *settle, Link *link, const Gw__FenceReply *reply)
+reconcile_fence_reply (Reconcile *settle, Link *link, const Gw__FenceReply *reply)
 {
   CaseOwner *owner = owner_of_link (settle, link);
 
@@ -415,7 +415,7 @@
 static void
 drop_ended_claims (CaseOwner *owner)
 {
-  Settle *settle = owner->owner_case->settle;
+  Reconcile *settle = owner->owner_case->settle;
 
   for (guint i = owner->claimed->len; i > 0; i--)
     {
@@ -459,7 +459,7 @@
 }
 
 void
-settle_tick (Settle *settle, gint64 now_ms)
+reconcile_tick (Reconcile *settle, gint64 now_ms)
 {
   Case *c;
   Case *next;
@@ -476,7 +476,7 @@
 }
 
 guint
-settle_open (const Settle *settle)
+reconcile_open (const Reconcile *settle)
 {
   const Case *c;
   guint n = 0;
