--- a/src/callers.c
+++ b/src/callers.c
@@ -76,7 +76,7 @@
     return; /* freed by the answer still under way */
   job = holder_lookup (holder, &caller->key);
   if (job != NULL)
-    holder_forget_waiter (job, caller);
+    holder_remove_waiter (job, caller);
   if (job != NULL && caller->direct)
     holder_cancel (holder, job);
   caller_free (caller);
@@ -194,7 +194,7 @@
       const TaskSpec *spec = g_ptr_array_index (submission->specs, i);
       char *place;
 
-      if (holder_knows_service (callers->init.holder, spec->service)
+      if (holder_has_service (callers->init.holder, spec->service)
           || fleet_names_service (config_fleet (callers->init.config), spec->service))
         continue;
       place = g_strdup_printf ("tasks[%u].service", i);
--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -14,7 +14,7 @@
       Gw__RosterAck *ack = g_new (Gw__RosterAck, 1);
 
       reconcile_set_roster (entry->settle, member->incarnation, frame->rosters[i]);
-      holder_learn_group (entry->holder, frame->rosters[i]->group, 0);
+      holder_add_group (entry->holder, frame->rosters[i]->group, 0);
       gw__roster_ack__init (ack);
       ack->group = g_strdup (frame->rosters[i]->group);
       ack->version = frame->rosters[i]->version;
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -254,7 +254,7 @@
        member = members_next (member))
     if (member->link != NULL)
       link_append (member->link, LINK_ROSTERS, &roster_message (group)->base);
-  holder_learn_group (entry->holder, group->name, backends_group_slots (group));
+  holder_add_group (entry->holder, group->name, backends_group_slots (group));
   entry->loads_sent_ms = 0;
 }
 
--- a/src/holder.c
+++ b/src/holder.c
@@ -194,7 +194,7 @@
 }
 
 void
-holder_drop_kept (Holder *holder, HeldJob *job)
+holder_drop_ended (Holder *holder, HeldJob *job)
 {
   TAILQ_REMOVE (&holder->kept, job, kept_entry);
   holder->kept_bytes -= job->answer_bytes;
@@ -289,7 +289,7 @@
 }
 
 void
-holder_task_join (HeldTask *task, HeldPart *part)
+holder_task_attach (HeldTask *task, HeldPart *part)
 {
   task->part = part;
   part->open++;
@@ -324,7 +324,7 @@
     {
       const TaskSpec *spec = g_ptr_array_index (job->specs, i);
 
-      holder_task_join (holder_task_new (job, spec),
+      holder_task_attach (holder_task_new (job, spec),
                         part_for_service (holder, job, spec->service));
     }
   LIST_FOREACH (part, &job->parts, link_entry)
@@ -349,7 +349,7 @@
 }
 
 void
-holder_forget_waiter (HeldJob *job, gpointer ctx)
+holder_remove_waiter (HeldJob *job, gpointer ctx)
 {
   for (guint i = 0; i < job->waiters->len; i++)
     {
@@ -380,7 +380,7 @@
     grant_due_parts (holder, job, now_ms);
   if (job->state == JOB_RUNNING && now_ms >= job->deadline_ms)
     {
-      holder_job_give_up (holder, job, GW__OUTCOME__REASON__EXPIRED, -1, 1);
+      holder_job_abort (holder, job, GW__OUTCOME__REASON__EXPIRED, -1, 1);
       holder_check_ending (holder, job);
     }
   else if (job->state == JOB_ENDING && now_ms - job->ending_ms > ENDING_LIMIT_MS)
@@ -403,7 +403,7 @@
     }
   forget_abandoned (holder, now_ms);
   while ((job = TAILQ_FIRST (&holder->kept)) != NULL && now_ms - job->ended_ms > KEEP_MS)
-    holder_drop_kept (holder, job);
+    holder_drop_ended (holder, job);
 }
 
 guint
--- a/src/holder.h
+++ b/src/holder.h
@@ -124,8 +124,8 @@
 /** holder_wait - call @done once the job has ended, from within if it has already. */
 void holder_wait (HeldJob *job, JobDone done, gpointer ctx);
 
-/** holder_forget_waiter - the one who waits with @ctx has gone. */
-void holder_forget_waiter (HeldJob *job, gpointer ctx);
+/** holder_remove_waiter - the one who waits with @ctx has gone. */
+void holder_remove_waiter (HeldJob *job, gpointer ctx);
 
 void holder_cancel (Holder *holder, HeldJob *job);
 
@@ -150,8 +150,8 @@
                        HeldPartFunc func,
                        gpointer ctx);
 
-/** holder_claimed - a slot owner says that it started the task under that grant. */
-void holder_claimed (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
+/** holder_task_started - a slot owner says that it started the task under that grant. */
+void holder_task_started (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
 
 /** holder_task_open - whether the task is still waited for under that grant. */
 gboolean
@@ -168,11 +168,11 @@
 
 void holder_group_load (Holder *holder, const Gw__GroupLoad *load);
 
-/** holder_learn_group - a group exists, whatever its load. */
-void holder_learn_group (Holder *holder, const char *group, guint slots);
+/** holder_add_group - a group exists, whatever its load. */
+void holder_add_group (Holder *holder, const char *group, guint slots);
 
-/** holder_knows_service - whether any home has told of backend servers of the service. */
-gboolean holder_knows_service (Holder *holder, const char *service);
+/** holder_has_service - whether any home has told of backend servers of the service. */
+gboolean holder_has_service (Holder *holder, const char *service);
 
 /**
  * holder_expected_wait - what the service's best group last reported, in ms.
--- a/src/holder_groups.c
+++ b/src/holder_groups.c
@@ -46,7 +46,7 @@
 }
 
 void
-holder_learn_group (Holder *holder, const char *group, guint slots)
+holder_add_group (Holder *holder, const char *group, guint slots)
 {
   GroupInfo *info;
 
@@ -58,7 +58,7 @@
 }
 
 gboolean
-holder_knows_service (Holder *holder, const char *service)
+holder_has_service (Holder *holder, const char *service)
 {
   guint groups = fleet_service (holder->ops->fleet (holder->ctx), service)->groups;
   gboolean known = FALSE;
--- a/src/holder_outcomes.c
+++ b/src/holder_outcomes.c
@@ -19,7 +19,7 @@
   TAILQ_INSERT_TAIL (&holder->kept, job, kept_entry);
   holder->kept_bytes += job->answer_bytes;
   while (holder->kept_bytes > KEEP_BYTES_MAX && TAILQ_FIRST (&holder->kept) != job)
-    holder_drop_kept (holder, TAILQ_FIRST (&holder->kept));
+    holder_drop_ended (holder, TAILQ_FIRST (&holder->kept));
 }
 
 /* Tell each home of the job that nothing of it is needed any more. */
@@ -121,7 +121,7 @@
  * once; else its homes are asked what did, which takes a round trip, so that "not run" is
  * said only with proof. */
 void
-holder_job_give_up (Holder *holder,
+holder_job_abort (Holder *holder,
                     HeldJob *job,
                     Gw__Outcome__Reason reason,
                     int index,
@@ -177,7 +177,7 @@
 void
 holder_cancel (Holder *holder, HeldJob *job)
 {
-  holder_job_give_up (holder, job, GW__OUTCOME__REASON__CANCELLED, -1, 0);
+  holder_job_abort (holder, job, GW__OUTCOME__REASON__CANCELLED, -1, 0);
   holder_check_ending (holder, job);
 }
 
@@ -212,7 +212,7 @@
   HeldPart *from = task->part;
 
   task_leave_part (task);
-  holder_task_join (task, regrant_part (holder, job, from));
+  holder_task_attach (task, regrant_part (holder, job, from));
   counter_add (COUNTER_TASKS_REGRANTED, 1);
 }
 
@@ -240,7 +240,7 @@
   job->retries++;
   counter_add (COUNTER_DIRECT_RETRIES, 1);
   timeline_add ("direct-retried", &job->key, (int)failed->index, NULL);
-  holder_task_join (holder_task_new (job, failed->spec), part);
+  holder_task_attach (holder_task_new (job, failed->spec), part);
   holder_part_grant (holder, part);
 }
 
@@ -305,7 +305,7 @@
       job_end (holder, job, JOB_COMPLETE);
       return;
     }
-  holder_job_give_up (holder, job, outcome->reason, (int)task->index,
+  holder_job_abort (holder, job, outcome->reason, (int)task->index,
                       outcome->retry_after_s);
   holder_check_ending (holder, job);
 }
--- a/src/holder_parts.h
+++ b/src/holder_parts.h
@@ -43,16 +43,16 @@
 /* holder.c */
 HeldTask *holder_task_at (const HeldJob *job, guint32 index);
 HeldPart *holder_part_by_grant (HeldJob *job, guint32 grant);
-void holder_drop_kept (Holder *holder, HeldJob *job);
+void holder_drop_ended (Holder *holder, HeldJob *job);
 Gw__Grant *holder_grant_message (HeldPart *part, gint64 now);
 void holder_part_grant (Holder *holder, HeldPart *part);
 HeldPart *
 holder_part_new (Holder *holder, HeldJob *job, const char *service, const char *group);
 HeldTask *holder_task_new (HeldJob *job, const TaskSpec *spec);
-void holder_task_join (HeldTask *task, HeldPart *part);
+void holder_task_attach (HeldTask *task, HeldPart *part);
 
 /* holder_outcomes.c */
-void holder_job_give_up (Holder *holder,
+void holder_job_abort (Holder *holder,
                          HeldJob *job,
                          Gw__Outcome__Reason reason,
                          int index,
--- a/src/holder_reconcile.c
+++ b/src/holder_reconcile.c
@@ -90,7 +90,7 @@
 }
 
 void
-holder_claimed (Holder *holder, const JobKey *key, guint32 grant, guint32 index)
+holder_task_started (Holder *holder, const JobKey *key, guint32 grant, guint32 index)
 {
   HeldJob *job;
   HeldTask *task = open_task (holder, key, grant, index, &job);
--- a/src/reconcile.c
+++ b/src/reconcile.c
@@ -391,7 +391,7 @@
       task.key = key;
       task.grant = part->grant;
       task.index = ref->index;
-      holder_claimed (c->settle->holder, &key, part->grant, ref->index);
+      holder_task_started (c->settle->holder, &key, part->grant, ref->index);
       if (!already_claimed (owner, &task))
         g_array_append_val (owner->claimed, task);
     }
