--- a/src/callers.c
+++ b/src/callers.c
@@ -51,7 +51,7 @@
 }
 
 void
-callers_refuse_new (Callers *callers)
+callers_stop_accepting (Callers *callers)
 {
   callers->refusing = TRUE;
 }
@@ -159,7 +159,7 @@
 }
 
 void
-callers_answer_now (Caller *caller, const HeldJob *job)
+callers_send_state (Caller *caller, const HeldJob *job)
 {
   Answer answer = answer_of_job (job);
 
@@ -222,7 +222,7 @@
   if (caller->wait)
     holder_wait (job, callers_on_job_done, caller);
   else
-    callers_answer_now (caller, job);
+    callers_send_state (caller, job);
 }
 
 static void
@@ -264,7 +264,7 @@
     }
   caller->reserved = TRUE;
   claims_take (callers->init.claims, caller->submission->team,
-               caller->submission->client_key, &caller->key, NULL, callers_on_claimed,
+               caller->submission->client_key, &caller->key, NULL, callers_on_key_claimed,
                caller);
 }
 
@@ -391,7 +391,7 @@
   if (caller->wait || job->state == JOB_ENDING)
     holder_wait (job, callers_on_job_done, caller);
   else
-    callers_answer_now (caller, job);
+    callers_send_state (caller, job);
 }
 
 static void
@@ -421,10 +421,10 @@
     }
   member = caller->key.holder == callers->init.incarnation
                ? NULL
-               : callers_living_member (callers, caller->key.holder);
-  if (member != NULL && header (request, PASSED_HEADER) == NULL)
+               : callers_find_member (callers, caller->key.holder);
+  if (member != NULL && header (request, FORWARDED_HEADER) == NULL)
     {
-      callers_pass_on (caller, member, &caller->key, caller->wait ? "?wait=1" : "",
+      callers_forward (caller, member, &caller->key, caller->wait ? "?wait=1" : "",
                        evhttp_request_get_command (request));
       return;
     }
--- a/src/callers.h
+++ b/src/callers.h
@@ -26,8 +26,8 @@
 /** callers_serve - Return: FALSE if the request is not one of a caller's. */
 gboolean callers_serve (Callers *callers, struct evhttp_request *request);
 
-/** callers_refuse_new - take nothing new: the entry leaves. */
-void callers_refuse_new (Callers *callers);
+/** callers_stop_accepting - take nothing new: the entry leaves. */
+void callers_stop_accepting (Callers *callers);
 
 /** callers_open - requests not yet answered. */
 guint callers_open (const Callers *callers);
--- a/src/callers_keys.c
+++ b/src/callers_keys.c
@@ -49,7 +49,7 @@
   caller->took_over = TRUE;
   claims_take (caller->callers->init.claims, caller->submission->team,
                caller->submission->client_key, &caller->key, &caller->other,
-               callers_on_claimed, caller);
+               callers_on_key_claimed, caller);
 }
 
 static void
@@ -84,7 +84,7 @@
 
 /* Ask the entry that holds a job. */
 void
-callers_pass_on (Caller *caller,
+callers_forward (Caller *caller,
                  const Member *member,
                  const JobKey *key,
                  const char *query,
@@ -92,7 +92,7 @@
 {
   char id[JOB_TEXT_SIZE];
   char *path = g_strdup_printf (JOBS_PATH "/%s%s", job_key_format (key, id), query);
-  const char *headers[] = { PASSED_HEADER, "1", NULL };
+  const char *headers[] = { FORWARDED_HEADER, "1", NULL };
   HttpCall call = { .method = method,
                     .path = path,
                     .headers = headers,
@@ -106,7 +106,7 @@
 }
 
 const Member *
-callers_living_member (Callers *callers, guint64 incarnation)
+callers_find_member (Callers *callers, guint64 incarnation)
 {
   const Member *member = members_by_incarnation (callers->init.members, incarnation);
 
@@ -138,7 +138,7 @@
       if (caller->wait)
         holder_wait (job, callers_on_job_done, caller);
       else
-        callers_answer_now (caller, job);
+        callers_send_state (caller, job);
       return;
     }
   answer = answer_unknown (409, "a job with this key was held here and is forgotten");
@@ -158,10 +158,10 @@
       attach_to_own (caller);
       return;
     }
-  member = callers_living_member (callers, caller->other.holder);
+  member = callers_find_member (callers, caller->other.holder);
   if (member != NULL)
     {
-      callers_pass_on (caller, member, &caller->other, caller->wait ? "?wait=1" : "",
+      callers_forward (caller, member, &caller->other, caller->wait ? "?wait=1" : "",
                        EVHTTP_REQ_GET);
       return;
     }
@@ -170,7 +170,7 @@
 }
 
 void
-callers_on_claimed (ClaimResult result, const JobKey *other, gpointer ctx)
+callers_on_key_claimed (ClaimResult result, const JobKey *other, gpointer ctx)
 {
   Caller *caller = ctx;
 
--- a/src/callers_parts.h
+++ b/src/callers_parts.h
@@ -7,7 +7,7 @@
 
 #define JOBS_PATH "/v1/jobs"
 /* Marks a request that another entry passed on, so that none goes in circles. */
-#define PASSED_HEADER "X-Godwitspar-Passed"
+#define FORWARDED_HEADER "X-Godwitspar-Passed"
 
 /* One open request. */
 typedef struct Caller
@@ -37,17 +37,17 @@
 /* callers.c */
 void callers_finish (Caller *caller, Answer *answer);
 void callers_refuse (Caller *caller, int status, const char *reason, guint retry_after_s);
-void callers_answer_now (Caller *caller, const HeldJob *job);
+void callers_send_state (Caller *caller, const HeldJob *job);
 void callers_submit (Caller *caller);
 
 /* callers_keys.c */
-void callers_pass_on (Caller *caller,
+void callers_forward (Caller *caller,
                       const Member *member,
                       const JobKey *key,
                       const char *query,
                       enum evhttp_cmd_type method);
-const Member *callers_living_member (Callers *callers, guint64 incarnation);
+const Member *callers_find_member (Callers *callers, guint64 incarnation);
 
 /* Callbacks that both parts hand out. */
 void callers_on_job_done (const HeldJob *job, gpointer ctx);
-void callers_on_claimed (ClaimResult result, const JobKey *other, gpointer ctx);
+void callers_on_key_claimed (ClaimResult result, const JobKey *other, gpointer ctx);
--- a/src/entry.c
+++ b/src/entry.c
@@ -131,7 +131,7 @@
 
   if (entry->draining_ms == 0 || elapsed < entry->settings->drain_grace_ms)
     return;
-  callers_refuse_new (entry->callers);
+  callers_stop_accepting (entry->callers);
   if (nothing_in_flight (entry) || elapsed > entry->settings->drain_limit_ms)
     say_farewell (entry);
 }
