--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -105,7 +105,7 @@
 mutant outcomes-kept-back src/home_owners.c 'if (task->outcome != NULL && !task->told && !task->job->orphan)' \
   'if (FALSE)' test-once /once/owner-then-home
 mutant claims-unpaced src/claims.c 'if (now < due)' 'if (FALSE)' test-keys /keys/paced
-mutant waits-in-lost-group src/holder_outcomes.c 'group_stands (holder, from) ? from->group : NULL' \
+mutant waits-in-lost-group src/holder_outcomes.c 'group_exists (holder, from) ? from->group : NULL' \
   'from->group' test-path /path/regroup-under-load
 mutant unleased-go-on src/runner.c \
   'else if (runner->now_ms > granted_until (runner, run->entry))' 'else if (FALSE)' \
--- a/src/holder.c
+++ b/src/holder.c
@@ -7,10 +7,10 @@
 
 #include <string.h>
 
-/* A job whose homes have not told what ran by then is answered "may have run". */
-#define ENDING_LIMIT_MS 300
-#define KEEP_MS 120000
-#define ABANDONED_MS 3600000
+/* A job whose homes have not reported what ran by then is answered "may have run". */
+#define ENDING_TIMEOUT_MS 300
+#define RETAIN_MS 120000
+#define ABANDONED_TTL_MS 3600000
 
 const char *
 job_state_name (JobState state)
@@ -55,7 +55,7 @@
   holder->groups = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   holder->abandoned = g_hash_table_new_full (job_key_hash, job_key_equal, g_free, g_free);
   LIST_INIT (&holder->running);
-  TAILQ_INIT (&holder->kept);
+  TAILQ_INIT (&holder->ended);
   return holder;
 }
 
@@ -122,9 +122,9 @@
       LIST_REMOVE (job, link_entry);
       job_free (holder, job);
     }
-  while ((job = TAILQ_FIRST (&holder->kept)) != NULL)
+  while ((job = TAILQ_FIRST (&holder->ended)) != NULL)
     {
-      TAILQ_REMOVE (&holder->kept, job, kept_entry);
+      TAILQ_REMOVE (&holder->ended, job, ended_entry);
       job_free (holder, job);
     }
   g_hash_table_unref (holder->jobs);
@@ -141,8 +141,8 @@
   return key;
 }
 
-/* The table's write for the id may still take effect, long after its answer was given up.
- * A resubmission then finds the id and asks here: it is told that it may run. */
+/* The table may still apply the write that claims the key for this id, long after the
+ * call timed out. A resubmission then finds the id in the row, asks here, and may run. */
 void
 holder_abandon (Holder *holder, const JobKey *key)
 {
@@ -159,14 +159,14 @@
 }
 
 static void
-forget_abandoned (Holder *holder, gint64 now_ms)
+expire_abandoned (Holder *holder, gint64 now_ms)
 {
   GHashTableIter iter;
   const gint64 *since_ms;
 
   g_hash_table_iter_init (&iter, holder->abandoned);
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&since_ms))
-    if (now_ms - *since_ms > ABANDONED_MS)
+    if (now_ms - *since_ms > ABANDONED_TTL_MS)
       g_hash_table_iter_remove (&iter);
 }
 
@@ -196,8 +196,8 @@
 void
 holder_drop_ended (Holder *holder, HeldJob *job)
 {
-  TAILQ_REMOVE (&holder->kept, job, kept_entry);
-  holder->kept_bytes -= job->answer_bytes;
+  TAILQ_REMOVE (&holder->ended, job, ended_entry);
+  holder->ended_bytes -= job->answer_bytes;
   job_free (holder, job);
 }
 
@@ -243,7 +243,7 @@
 holder_part_grant (Holder *holder, HeldPart *part)
 {
   part->home = holder->ops->home_of (part->group, holder->ctx);
-  part->settling = FALSE;
+  part->reconciling = FALSE;
   timeline_add ("job-granted", &part->job->key, -1, part->group);
   holder->ops->grant (part->home, holder_grant_message (part, clock_now_ms ()),
                       holder->ctx);
@@ -325,7 +325,7 @@
       const TaskSpec *spec = g_ptr_array_index (job->specs, i);
 
       holder_task_attach (holder_task_new (job, spec),
-                        part_for_service (holder, job, spec->service));
+                          part_for_service (holder, job, spec->service));
     }
   LIST_FOREACH (part, &job->parts, link_entry)
     holder_part_grant (holder, part);
@@ -383,7 +383,7 @@
       holder_job_abort (holder, job, GW__OUTCOME__REASON__EXPIRED, -1, 1);
       holder_check_ending (holder, job);
     }
-  else if (job->state == JOB_ENDING && now_ms - job->ending_ms > ENDING_LIMIT_MS)
+  else if (job->state == JOB_ENDING && now_ms - job->ending_ms > ENDING_TIMEOUT_MS)
     {
       job->started = TRUE;
       holder_check_ending (holder, job);
@@ -401,8 +401,9 @@
       next = LIST_NEXT (job, link_entry);
       tick_job (holder, job, now_ms);
     }
-  forget_abandoned (holder, now_ms);
-  while ((job = TAILQ_FIRST (&holder->kept)) != NULL && now_ms - job->ended_ms > KEEP_MS)
+  expire_abandoned (holder, now_ms);
+  while ((job = TAILQ_FIRST (&holder->ended)) != NULL
+         && now_ms - job->ended_ms > RETAIN_MS)
     holder_drop_ended (holder, job);
 }
 
@@ -419,6 +420,6 @@
 
   LIST_FOREACH (job, &holder->running, link_entry)
     func (job, ctx);
-  TAILQ_FOREACH (job, &holder->kept, kept_entry)
+  TAILQ_FOREACH (job, &holder->ended, ended_entry)
     func (job, ctx);
 }
--- a/src/holder.h
+++ b/src/holder.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The holder's work: keeps the jobs taken from callers, grants their tasks to homes,
- * gathers outcomes and gives each job one whole answer. */
+/* Holds the jobs taken from callers: grants their tasks to the homes of the groups,
+ * collects the outcomes and answers each job once, as a whole. */
 #include "budget.h"
 #include "fleet.h"
 #include "godwitspar.pb-c.h"
@@ -15,7 +15,7 @@
 typedef enum
 {
   JOB_RUNNING,
-  JOB_ENDING, /* given up; what ran is being learned from its homes */
+  JOB_ENDING, /* aborted; its homes are being asked what ran */
   JOB_COMPLETE,
   JOB_FAILED,
   JOB_CANCELLED,
@@ -35,16 +35,16 @@
 {
   guint32 index;
   const TaskSpec *spec;
-  HeldPart *part; /* the grant it is under; NULL once ended */
+  HeldPart *part; /* NULL once ended */
   gboolean ended;
-  gboolean claimed; /* a slot owner has told us that it started */
+  gboolean confirmed_started; /* by a slot owner */
   Gw__Outcome *outcome;
 } HeldTask;
 
 typedef struct HeldJob
 {
   LIST_ENTRY (HeldJob) link_entry;
-  TAILQ_ENTRY (HeldJob) kept_entry;
+  TAILQ_ENTRY (HeldJob) ended_entry;
   JobKey key;
   JobState state;
   char *team;
@@ -60,8 +60,8 @@
   gint64 deadline_ms;
   gint64 ending_ms;
   gint64 ended_ms;
-  gboolean started; /* some task started, or may have */
-  int failed_index; /* the task that failed the job, or -1 */
+  gboolean started; /* a task started, or may have */
+  int failed_index; /* of the task that failed the job, or -1 */
   Gw__Outcome__Reason reason;
   guint retry_after_s;
   gsize answer_bytes;
@@ -79,15 +79,16 @@
 
 typedef struct
 {
-  /* Incarnation of the home of @group now. */
+  /* Incarnation of the group's current home. */
   guint64 (*home_of) (const char *group, gpointer ctx);
-  /* Send to a home; each takes its message over. */
+  /* Send to a home; each takes ownership of its message. */
   void (*grant) (guint64 home, Gw__Grant *grant, gpointer ctx);
   void (*cancel) (guint64 home, Gw__Cancel *cancel, gpointer ctx);
   void (*ack) (guint64 home, Gw__Ack *ack, gboolean urgent, gpointer ctx);
-  /* Reconcile the open tasks of a lost home; holder_reconciled () follows for each part. */
-  void (*settle) (guint64 home, const char *group, gpointer ctx);
-  /* A keyed job ended without having run: its claim may go. */
+  /* Reconcile the open tasks of a lost home; holder_reconciled () follows for each part.
+   */
+  void (*reconcile) (guint64 home, const char *group, gpointer ctx);
+  /* A keyed job ended without having run: release its key claim. */
   void (*release) (const HeldJob *job, gpointer ctx);
   const Fleet *(*fleet) (gpointer ctx);
 } HolderOps;
@@ -95,13 +96,13 @@
 Holder *holder_new (guint64 incarnation, const HolderOps *ops, gpointer ctx);
 void holder_free (Holder *holder);
 
-/** holder_reserve - an id for a job that may be submitted later. */
+/** holder_reserve - allocate the id of a job that may be submitted later. */
 JobKey holder_reserve (Holder *holder);
 
-/** holder_abandon - a reserved id that will never be submitted: it did not run. */
+/** holder_abandon - record that a reserved id was not and will not be submitted. */
 void holder_abandon (Holder *holder, const JobKey *key);
 
-/** holder_abandoned - whether the id is remembered as abandoned. */
+/** holder_abandoned - whether the id was abandoned within the last hour. */
 gboolean holder_abandoned (Holder *holder, const JobKey *key);
 
 typedef struct
@@ -112,7 +113,7 @@
   gboolean direct;
   gboolean idempotent;
   guint deadline_ms;
-  GPtrArray *specs; /* taken over */
+  GPtrArray *specs; /* ownership is taken */
 } JobInit;
 
 /** task_specs_new - an empty array for JobInit.specs. */
@@ -121,61 +122,63 @@
 HeldJob *holder_submit (Holder *holder, const JobInit *init);
 HeldJob *holder_lookup (Holder *holder, const JobKey *key);
 
-/** holder_wait - call @done once the job has ended, from within if it has already. */
+/** holder_wait - call @done when the job has ended; at once if it already has. */
 void holder_wait (HeldJob *job, JobDone done, gpointer ctx);
 
-/** holder_remove_waiter - the one who waits with @ctx has gone. */
+/** holder_remove_waiter - undo holder_wait () with this @ctx. */
 void holder_remove_waiter (HeldJob *job, gpointer ctx);
 
 void holder_cancel (Holder *holder, HeldJob *job);
 
-/** holder_outcome - Return: FALSE if nobody waited for it. */
+/** holder_outcome - take a task's outcome. Return: FALSE if the task was not open. */
 gboolean holder_outcome (Holder *holder, const Gw__Outcome *outcome);
 
-/** holder_home_up - the link to a home stands anew: grants may have been lost. */
+/** holder_home_up - resend the open grants, which the former link may have lost. */
 void holder_home_up (Holder *holder, guint64 home);
 void holder_home_lost (Holder *holder, guint64 home);
 
-/** HeldPartFunc - @indexes are the open tasks of the part. */
+/** HeldPartFunc - @indexes: the open tasks of the part. */
 typedef void (*HeldPartFunc) (const JobKey *key,
                               guint32 grant,
                               const guint32 *indexes,
                               gsize n,
                               gpointer ctx);
 
-/** holder_each_part - the parts of a group with open tasks under a home. */
+/** holder_each_part - visit a group's parts that have open tasks at a home. */
 void holder_each_part (Holder *holder,
                        guint64 home,
                        const char *group,
                        HeldPartFunc func,
                        gpointer ctx);
 
-/** holder_task_started - a slot owner says that it started the task under that grant. */
-void holder_task_started (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
+/** holder_task_started - a slot owner confirmed that it started the task. */
+void
+holder_task_started (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
 
-/** holder_task_open - whether the task is still waited for under that grant. */
+/** holder_task_open - whether the task's outcome is awaited under that grant. */
 gboolean
 holder_task_open (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
 
 /**
- * holder_reconciled - all slot owners have been asked about a part.
- * @proved: every one has answered, so that what none claimed did not start.
+ * holder_reconciled - the slot owners have been asked about a part.
+ * @proved: all answered, so a task that none of them confirmed did not start.
  */
-void holder_reconciled (Holder *holder, const JobKey *key, guint32 grant, gboolean proved);
+void
+holder_reconciled (Holder *holder, const JobKey *key, guint32 grant, gboolean proved);
 
-/** holder_task_lost - the owner that claimed the task is gone. */
+/** holder_task_lost - the slot owner that started the task is lost. */
 void holder_task_lost (Holder *holder, const JobKey *key, guint32 grant, guint32 index);
 
 void holder_group_load (Holder *holder, const Gw__GroupLoad *load);
 
-/** holder_add_group - a group exists, whatever its load. */
+/** holder_add_group - add a group whose load is not known yet. */
 void holder_add_group (Holder *holder, const char *group, guint slots);
 
-/** holder_has_service - whether any home has told of backend servers of the service. */
+/** holder_has_service - whether a group of the service is known. */
 gboolean holder_has_service (Holder *holder, const char *service);
 
-/**
- * holder_expected_wait - what the service's best group last reported, in ms.
+/** holder_expected_wait - last reported wait in the service's best group, in ms; 0 if
+ * unknown.
  */
 guint holder_expected_wait (Holder *holder, const char *service);
 
--- a/src/holder_groups.c
+++ b/src/holder_groups.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "holder"
-/* What homes report of their groups, and the choice among the groups of a service. */
+/* Load of the groups as their homes report it; choice among a service's groups. */
 #include "holder_parts.h"
 
 const char *
--- a/src/holder_outcomes.c
+++ b/src/holder_outcomes.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "holder"
-/* Outcomes gathered, retried or given up on; the end of a job and its whole answer. */
+/* Outcomes, retries and the end of jobs. */
 #include "clock.h"
 #include "counters.h"
 #include "holder_parts.h"
@@ -10,21 +10,21 @@
 #include <string.h>
 
 #define REGRANT_DELAY_MS 50
-#define KEEP_BYTES_MAX (24u << 20)
+#define RETAIN_BYTES_MAX (24u << 20)
 #define RETRIES_MAX 2
 
 static void
-keep_ended (Holder *holder, HeldJob *job)
+retain_job (Holder *holder, HeldJob *job)
 {
-  TAILQ_INSERT_TAIL (&holder->kept, job, kept_entry);
-  holder->kept_bytes += job->answer_bytes;
-  while (holder->kept_bytes > KEEP_BYTES_MAX && TAILQ_FIRST (&holder->kept) != job)
-    holder_drop_ended (holder, TAILQ_FIRST (&holder->kept));
+  TAILQ_INSERT_TAIL (&holder->ended, job, ended_entry);
+  holder->ended_bytes += job->answer_bytes;
+  while (holder->ended_bytes > RETAIN_BYTES_MAX && TAILQ_FIRST (&holder->ended) != job)
+    holder_drop_ended (holder, TAILQ_FIRST (&holder->ended));
 }
 
-/* Tell each home of the job that nothing of it is needed any more. */
+/* Tells the homes that nothing of the job is needed any more. */
 static void
-dismiss_homes (Holder *holder, HeldJob *job)
+ack_homes (Holder *holder, HeldJob *job)
 {
   HeldPart *part;
 
@@ -50,7 +50,7 @@
 }
 
 static void
-measure_answer (HeldJob *job)
+measure_results (HeldJob *job)
 {
   for (guint i = 0; i < job->tasks->len; i++)
     {
@@ -85,10 +85,10 @@
   count_end (job);
   timeline_add (state == JOB_COMPLETE ? "job-complete" : "job-failed", &job->key, -1,
                 state == JOB_COMPLETE ? NULL : job_reason_text (job->reason));
-  dismiss_homes (holder, job);
+  ack_homes (holder, job);
   drop_payloads (job);
-  measure_answer (job);
-  keep_ended (holder, job);
+  measure_results (job);
+  retain_job (holder, job);
   if (job->client_key != NULL && state != JOB_COMPLETE && !job->started)
     holder->ops->release (job, holder->ctx);
 
@@ -103,7 +103,7 @@
 }
 
 static void
-task_leave_part (HeldTask *task)
+detach_task (HeldTask *task)
 {
   if (task->part == NULL)
     return;
@@ -117,15 +117,14 @@
   return job->reason == GW__OUTCOME__REASON__CANCELLED ? JOB_CANCELLED : JOB_FAILED;
 }
 
-/* Give the job up. If something of it is known to have started, the answer is clear at
- * once; else its homes are asked what did, which takes a round trip, so that "not run" is
- * said only with proof. */
+/* If a task may have started, the job ends at once as "may have run". Otherwise its homes
+ * are asked first, which takes a round trip: "not run" is answered only with proof. */
 void
 holder_job_abort (Holder *holder,
-                    HeldJob *job,
-                    Gw__Outcome__Reason reason,
-                    int index,
-                    guint retry_after_s)
+                  HeldJob *job,
+                  Gw__Outcome__Reason reason,
+                  int index,
+                  guint retry_after_s)
 {
   HeldPart *part;
 
@@ -158,7 +157,7 @@
 void
 holder_check_ending (Holder *holder, HeldJob *job)
 {
-  guint unsure = 0;
+  guint unresolved = 0;
 
   if (job->state != JOB_ENDING)
     return;
@@ -166,11 +165,11 @@
     {
       const HeldTask *task = holder_task_at (job, i);
 
-      /* A part under no home was handed back: that was the proof. */
+      /* A part without a home was handed back, which proves that it did not start. */
       if (!task->ended && task->part != NULL && task->part->home != 0)
-        unsure++;
+        unresolved++;
     }
-  if (job->started || unsure == 0)
+  if (job->started || unresolved == 0)
     job_end (holder, job, end_state (job));
 }
 
@@ -182,7 +181,7 @@
 }
 
 static gboolean
-group_stands (Holder *holder, const HeldPart *part)
+group_exists (Holder *holder, const HeldPart *part)
 {
   const Fleet *fleet = holder->ops->fleet (holder->ctx);
 
@@ -190,7 +189,7 @@
                                   fleet_service (fleet, part->service)->groups);
 }
 
-/* Tasks that a home handed back go under a new grant together. */
+/* Tasks that a home handed back share a new grant. */
 static HeldPart *
 regrant_part (Holder *holder, HeldJob *job, const HeldPart *from)
 {
@@ -199,9 +198,9 @@
   LIST_FOREACH (part, &job->parts, link_entry)
     if (part->home == 0 && strcmp (part->service, from->service) == 0)
       return part;
-  /* A group that the configuration has no more: one that it has is chosen. */
+  /* If the configuration no longer has the group, another is chosen. */
   part = holder_part_new (holder, job, from->service,
-                          group_stands (holder, from) ? from->group : NULL);
+                          group_exists (holder, from) ? from->group : NULL);
   part->regrant_ms = clock_now_ms () + REGRANT_DELAY_MS;
   return part;
 }
@@ -211,7 +210,7 @@
 {
   HeldPart *from = task->part;
 
-  task_leave_part (task);
+  detach_task (task);
   holder_task_attach (task, regrant_part (holder, job, from));
   counter_add (COUNTER_TASKS_REGRANTED, 1);
 }
@@ -230,8 +229,8 @@
   return TRUE;
 }
 
-/* A request marked as idempotent may run again: as a new task, so that the old one still
- * starts at most once. */
+/* An idempotent request is retried as a new task, so that each task still starts at most
+ * once. */
 static void
 retry_direct (Holder *holder, HeldJob *job, HeldTask *failed)
 {
@@ -247,7 +246,7 @@
 void
 holder_task_end (HeldJob *job, HeldTask *task, const Gw__Outcome *outcome)
 {
-  task_leave_part (task);
+  detach_task (task);
   task->ended = TRUE;
   task->outcome = message_outcome_copy (outcome);
   job->open--;
@@ -256,7 +255,7 @@
 }
 
 static gboolean
-is_answer (const Gw__Outcome *outcome)
+is_success (const Gw__Outcome *outcome)
 {
   return outcome->kind == GW__OUTCOME__KIND__ANSWERED && outcome->status < 400;
 }
@@ -288,7 +287,7 @@
       holder_check_ending (holder, job);
       return;
     }
-  if (is_answer (outcome))
+  if (is_success (outcome))
     {
       if (job->open == 0)
         job_end (holder, job, JOB_COMPLETE);
@@ -299,14 +298,14 @@
       retry_direct (holder, job, task);
       return;
     }
-  /* The backend server's own refusal of a direct request is its answer. */
+  /* A backend server's error response to a direct request is passed on as its answer. */
   if (job->direct && outcome->kind == GW__OUTCOME__KIND__ANSWERED)
     {
       job_end (holder, job, JOB_COMPLETE);
       return;
     }
   holder_job_abort (holder, job, outcome->reason, (int)task->index,
-                      outcome->retry_after_s);
+                    outcome->retry_after_s);
   holder_check_ending (holder, job);
 }
 
--- a/src/holder_parts.h
+++ b/src/holder_parts.h
@@ -1,9 +1,10 @@
 #pragma once
-/* What the parts of the holder share: its records, and the steps that one part asks of
- * another. holder.c takes and keeps jobs, holder_outcomes.c gathers and ends them,
- * holder_reconcile.c deals with homes lost and found, holder_groups.c knows the groups. */
+/* Internals shared by holder.c (jobs and grants), holder_outcomes.c (outcomes, retries,
+ * job ends), holder_reconcile.c (links to homes up or lost) and holder_groups.c (choice
+ * of a group). */
 #include "holder.h"
 
+/* A job's tasks under one grant: all of one service, sent to one group. */
 struct HeldPart
 {
   LIST_ENTRY (HeldPart) link_entry;
@@ -11,9 +12,9 @@
   char *service;
   char *group;
   guint32 grant;
-  guint64 home; /* 0: to be granted at regrant_ms */
+  guint64 home; /* 0: not granted before regrant_ms */
   gint64 regrant_ms;
-  gboolean settling;
+  gboolean reconciling;
   guint open;
 };
 
@@ -32,10 +33,10 @@
   guint64 numbers;
   GHashTable *jobs;      /* JobKey -> HeldJob */
   GHashTable *groups;    /* name -> GroupInfo */
-  GHashTable *abandoned; /* JobKey -> gint64 time */
+  GHashTable *abandoned; /* JobKey -> gint64 since_ms */
   LIST_HEAD (, HeldJob) running;
-  TAILQ_HEAD (KeptList, HeldJob) kept; /* ended, oldest first */
-  gsize kept_bytes;
+  TAILQ_HEAD (EndedList, HeldJob) ended; /* oldest first */
+  gsize ended_bytes;
   guint open_jobs;
   RetryBudget budget;
 };
@@ -53,10 +54,10 @@
 
 /* holder_outcomes.c */
 void holder_job_abort (Holder *holder,
-                         HeldJob *job,
-                         Gw__Outcome__Reason reason,
-                         int index,
-                         guint retry_after_s);
+                       HeldJob *job,
+                       Gw__Outcome__Reason reason,
+                       int index,
+                       guint retry_after_s);
 void holder_check_ending (Holder *holder, HeldJob *job);
 void holder_task_regrant (Holder *holder, HeldJob *job, HeldTask *task);
 void holder_task_end (HeldJob *job, HeldTask *task, const Gw__Outcome *outcome);
--- a/src/holder_reconcile.c
+++ b/src/holder_reconcile.c
@@ -1,6 +1,5 @@
 #define LOG_MODULE "holder"
-/* Homes lost and found: which tasks are open under one, and what settlement says of them.
- */
+/* Links to homes up or lost, and the open tasks of a lost home after reconciliation. */
 #include "clock.h"
 #include "counters.h"
 #include "holder_parts.h"
@@ -17,7 +16,7 @@
 
   LIST_FOREACH (job, &holder->running, link_entry)
     LIST_FOREACH (part, &job->parts, link_entry)
-      if (part->home == home && part->open > 0 && !part->settling)
+      if (part->home == home && part->open > 0 && !part->reconciling)
         holder->ops->grant (home, holder_grant_message (part, clock_now_ms ()),
                             holder->ctx);
 }
@@ -34,7 +33,7 @@
       {
         if (part->home != home || part->open == 0)
           continue;
-        part->settling = TRUE;
+        part->reconciling = TRUE;
         if (!g_ptr_array_find_with_equal_func (groups, part->group, g_str_equal, NULL))
           g_ptr_array_add (groups, g_strdup (part->group));
       }
@@ -47,7 +46,7 @@
   GPtrArray *groups = groups_of_home (holder, home);
 
   for (guint i = 0; i < groups->len; i++)
-    holder->ops->settle (home, g_ptr_array_index (groups, i), holder->ctx);
+    holder->ops->reconcile (home, g_ptr_array_index (groups, i), holder->ctx);
   g_ptr_array_unref (groups);
 }
 
@@ -97,7 +96,7 @@
 
   if (task == NULL)
     return;
-  task->claimed = TRUE;
+  task->confirmed_started = TRUE;
   job->started = TRUE;
 }
 
@@ -133,28 +132,28 @@
     task_lost (holder, job, task);
 }
 
-/* Proved tasks leave for a new grant; what is claimed stays under the old one, whose
- * outcomes come from the slot owners. */
+/* Tasks confirmed as started stay under the old grant: their slot owners report the
+ * outcomes. */
 static void
-regrant_unclaimed (Holder *holder, HeldJob *job, HeldPart *part)
+regrant_unstarted (Holder *holder, HeldJob *job, HeldPart *part)
 {
   for (guint i = 0; i < job->tasks->len; i++)
     {
       HeldTask *task = holder_task_at (job, i);
 
-      if (task->part == part && !task->claimed)
+      if (task->part == part && !task->confirmed_started)
         holder_task_regrant (holder, job, task);
     }
 }
 
 static void
-lose_unclaimed (Holder *holder, HeldJob *job, const HeldPart *part)
+lose_unstarted (Holder *holder, HeldJob *job, const HeldPart *part)
 {
   for (guint i = 0; i < job->tasks->len && job->ended_ms == 0; i++)
     {
       HeldTask *task = holder_task_at (job, i);
 
-      if (task->part == part && !task->claimed)
+      if (task->part == part && !task->confirmed_started)
         task_lost (holder, job, task);
     }
 }
@@ -173,7 +172,7 @@
   counter_add (COUNTER_JOBS_SETTLED, 1);
   timeline_add ("job-settled", key, -1, proved ? "proved" : "unproved");
   if (proved)
-    regrant_unclaimed (holder, job, part);
+    regrant_unstarted (holder, job, part);
   else
-    lose_unclaimed (holder, job, part);
+    lose_unstarted (holder, job, part);
 }
