--- a/src/holder_reconcile.c
+++ b/src/holder_reconcile.c
@@ -147,7 +147,7 @@
 }
 
 static void
-lose_unstarted (Holder *holder, HeldJob *job, const HeldPart *part)
+lose_unconfirmed (Holder *holder, HeldJob *job, const HeldPart *part)
 {
   for (guint i = 0; i < job->tasks->len && job->ended_ms == 0; i++)
     {
@@ -174,5 +174,5 @@
   if (proved)
     regrant_unstarted (holder, job, part);
   else
-    lose_unstarted (holder, job, part);
+    lose_unconfirmed (holder, job, part);
 }
--- a/src/reconcile.c
+++ b/src/reconcile.c
@@ -10,9 +10,9 @@
 
 typedef enum
 {
-  OWNER_ASKING,
+  OWNER_PENDING,
   OWNER_ANSWERED,
-  OWNER_SILENT, /* dead, restarted or out of reach: it proves nothing */
+  OWNER_UNREACHABLE, /* or restarted: proves nothing about its tasks */
 } OwnerAnswer;
 
 typedef struct
@@ -20,12 +20,12 @@
   JobKey key;
   guint32 grant;
   GArray *indexes; /* guint32 */
-} CasePart;
+} QueryPart;
 
-typedef struct CaseOwner
+typedef struct QueryOwner
 {
-  TAILQ_ENTRY (CaseOwner) link_entry;
-  struct Case *owner_case;
+  TAILQ_ENTRY (QueryOwner) link_entry;
+  struct Query *query;
   char *name;
   char *address;
   guint64 incarnation;
@@ -33,37 +33,37 @@
   Link *link;
   guint replies; /* still expected */
   gint64 dialed_ms;
-  gint64 lost_ms;  /* since when its link is gone after it answered; 0: it is not */
-  GArray *claimed; /* ClaimedTask */
-} CaseOwner;
+  gint64 lost_ms;  /* when its link was lost; 0: it was not lost */
+  GArray *started; /* StartedTask */
+} QueryOwner;
 
 typedef struct
 {
   JobKey key;
   guint32 grant;
   guint32 index;
-} ClaimedTask;
+} StartedTask;
 
-typedef struct Case
+typedef struct Query
 {
-  TAILQ_ENTRY (Case) link_entry;
-  Reconcile *settle;
-  guint64 query;
+  TAILQ_ENTRY (Query) link_entry;
+  Reconcile *reconcile;
+  guint64 id;
   gint64 begun_ms;
-  gboolean agentless; /* some owner died with its home */
-  gboolean decided;
-  GPtrArray *parts; /* of CasePart */
-  TAILQ_HEAD (, CaseOwner) owners;
-} Case;
+  gboolean agentless; /* the lost home owned some slots itself */
+  gboolean concluded;
+  GPtrArray *parts; /* of QueryPart */
+  TAILQ_HEAD (, QueryOwner) owners;
+} Query;
 
 struct Reconcile
 {
   ReconcileInit init;
   const LinkConfig *links;
   Holder *holder;
-  guint64 queries;
+  guint64 last_id;
   GHashTable *rosters; /* "incarnation group" -> Gw__Roster */
-  TAILQ_HEAD (, Case) cases;
+  TAILQ_HEAD (, Query) queries;
 };
 
 static void
@@ -75,22 +75,23 @@
 Reconcile *
 reconcile_new (const ReconcileInit *init, const LinkConfig *links, Holder *holder)
 {
-  Reconcile *settle = g_new0 (Reconcile, 1);
+  Reconcile *reconcile = g_new0 (Reconcile, 1);
 
-  settle->init = *init;
-  settle->links = links;
-  settle->holder = holder;
-  settle->rosters = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, roster_free);
-  TAILQ_INIT (&settle->cases);
-  return settle;
+  reconcile->init = *init;
+  reconcile->links = links;
+  reconcile->holder = holder;
+  reconcile->rosters
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, roster_free);
+  TAILQ_INIT (&reconcile->queries);
+  return reconcile;
 }
 
 static void
-owner_free (Case *c, CaseOwner *owner)
+owner_free (Query *query, QueryOwner *owner)
 {
-  TAILQ_REMOVE (&c->owners, owner, link_entry);
+  TAILQ_REMOVE (&query->owners, owner, link_entry);
   link_drop (&owner->link);
-  g_array_unref (owner->claimed);
+  g_array_unref (owner->started);
   g_free (owner->name);
   g_free (owner->address);
   g_free (owner);
@@ -99,35 +100,35 @@
 static void
 part_free (gpointer data)
 {
-  CasePart *part = data;
+  QueryPart *part = data;
 
   g_array_unref (part->indexes);
   g_free (part);
 }
 
 static void
-case_free (Case *c)
+query_free (Query *query)
 {
-  CaseOwner *owner;
+  QueryOwner *owner;
 
-  while ((owner = TAILQ_FIRST (&c->owners)) != NULL)
-    owner_free (c, owner);
-  TAILQ_REMOVE (&c->settle->cases, c, link_entry);
-  g_ptr_array_unref (c->parts);
-  g_free (c);
+  while ((owner = TAILQ_FIRST (&query->owners)) != NULL)
+    owner_free (query, owner);
+  TAILQ_REMOVE (&query->reconcile->queries, query, link_entry);
+  g_ptr_array_unref (query->parts);
+  g_free (query);
 }
 
 void
-reconcile_free (Reconcile *settle)
+reconcile_free (Reconcile *reconcile)
 {
-  Case *c;
+  Query *query;
 
-  if (settle == NULL)
+  if (reconcile == NULL)
     return;
-  while ((c = TAILQ_FIRST (&settle->cases)) != NULL)
-    case_free (c);
-  g_hash_table_unref (settle->rosters);
-  g_free (settle);
+  while ((query = TAILQ_FIRST (&reconcile->queries)) != NULL)
+    query_free (query);
+  g_hash_table_unref (reconcile->rosters);
+  g_free (reconcile);
 }
 
 static char *
@@ -137,25 +138,25 @@
 }
 
 void
-reconcile_set_roster (Reconcile *settle, guint64 home, const Gw__Roster *roster)
+reconcile_set_roster (Reconcile *reconcile, guint64 home, const Gw__Roster *roster)
 {
   gsize size = gw__roster__get_packed_size (roster);
   guint8 *bytes = g_malloc (size);
 
   gw__roster__pack (roster, bytes);
-  g_hash_table_replace (settle->rosters, roster_key (home, roster->group),
+  g_hash_table_replace (reconcile->rosters, roster_key (home, roster->group),
                         gw__roster__unpack (NULL, size, bytes));
   g_free (bytes);
 }
 
 void
-reconcile_forget_home (Reconcile *settle, guint64 home)
+reconcile_forget_home (Reconcile *reconcile, guint64 home)
 {
   char *prefix = roster_key (home, "");
   GHashTableIter iter;
   const char *key;
 
-  g_hash_table_iter_init (&iter, settle->rosters);
+  g_hash_table_iter_init (&iter, reconcile->rosters);
   while (g_hash_table_iter_next (&iter, (gpointer *)&key, NULL))
     if (g_str_has_prefix (key, prefix))
       g_hash_table_iter_remove (&iter);
@@ -165,195 +166,195 @@
 static void
 add_part (const JobKey *key, guint32 grant, const guint32 *indexes, gsize n, gpointer ctx)
 {
-  Case *c = ctx;
-  CasePart *part = g_new0 (CasePart, 1);
+  Query *query = ctx;
+  QueryPart *part = g_new0 (QueryPart, 1);
 
   part->key = *key;
   part->grant = grant;
   part->indexes = g_array_new (FALSE, FALSE, sizeof (guint32));
   g_array_append_vals (part->indexes, indexes, n);
-  g_ptr_array_add (c->parts, part);
+  g_ptr_array_add (query->parts, part);
 }
 
 static void
-owner_dial (CaseOwner *owner)
+owner_dial (QueryOwner *owner)
 {
   link_drop (&owner->link);
   owner->dialed_ms = clock_now_ms ();
-  owner->link = link_dial (owner->owner_case->settle->links, owner->address);
+  owner->link = link_dial (owner->query->reconcile->links, owner->address);
 }
 
 static void
-add_owner (Case *c, const Gw__Backend *info)
+add_owner (Query *query, const Gw__Backend *info)
 {
-  CaseOwner *owner;
+  QueryOwner *owner;
 
   if (info->agent_address[0] == '\0')
     {
-      c->agentless = TRUE;
+      query->agentless = TRUE;
       return;
     }
-  owner = g_new0 (CaseOwner, 1);
-  owner->owner_case = c;
+  owner = g_new0 (QueryOwner, 1);
+  owner->query = query;
   owner->name = g_strdup (info->name);
   owner->address = g_strdup (info->agent_address);
   owner->incarnation = info->incarnation;
-  owner->claimed = g_array_new (FALSE, FALSE, sizeof (ClaimedTask));
-  TAILQ_INSERT_TAIL (&c->owners, owner, link_entry);
+  owner->started = g_array_new (FALSE, FALSE, sizeof (StartedTask));
+  TAILQ_INSERT_TAIL (&query->owners, owner, link_entry);
   owner_dial (owner);
 }
 
-/* Once every owner has spoken, or will not, the fate of all unclaimed tasks is known. */
+/* Reports to the holder once every owner has answered or is unreachable. */
 static void
-case_decide (Case *c)
+query_conclude (Query *query)
 {
-  gboolean proved = !c->agentless;
-  const CaseOwner *owner;
+  gboolean proved = !query->agentless;
+  const QueryOwner *owner;
 
-  if (c->decided)
+  if (query->concluded)
     return;
-  TAILQ_FOREACH (owner, &c->owners, link_entry)
+  TAILQ_FOREACH (owner, &query->owners, link_entry)
     {
-      if (owner->answer == OWNER_ASKING)
+      if (owner->answer == OWNER_PENDING)
         return;
-      if (owner->answer == OWNER_SILENT)
+      if (owner->answer == OWNER_UNREACHABLE)
         proved = FALSE;
     }
-  c->decided = TRUE;
-  log_notice ("%u parts of a lost home are settled, %s", c->parts->len,
-              proved ? "all owners answered" : "some owner proves nothing");
-  for (guint i = 0; i < c->parts->len; i++)
+  query->concluded = TRUE;
+  log_notice ("reconciled %u grants of a lost home: %s", query->parts->len,
+              proved ? "all slot owners answered" : "not all slot owners answered");
+  for (guint i = 0; i < query->parts->len; i++)
     {
-      const CasePart *part = g_ptr_array_index (c->parts, i);
+      const QueryPart *part = g_ptr_array_index (query->parts, i);
 
-      holder_reconciled (c->settle->holder, &part->key, part->grant, proved);
+      holder_reconciled (query->reconcile->holder, &part->key, part->grant, proved);
     }
 }
 
 void
-reconcile_begin (Reconcile *settle, guint64 home, const char *group)
+reconcile_begin (Reconcile *reconcile, guint64 home, const char *group)
 {
   char *key = roster_key (home, group);
-  const Gw__Roster *roster = g_hash_table_lookup (settle->rosters, key);
-  Case *c = g_new0 (Case, 1);
+  const Gw__Roster *roster = g_hash_table_lookup (reconcile->rosters, key);
+  Query *query = g_new0 (Query, 1);
 
   g_free (key);
-  c->settle = settle;
-  /* The home asks owners too, over other links; the high bit keeps its numbers apart. */
-  c->query = ++settle->queries | (G_GUINT64_CONSTANT (1) << 63);
-  c->begun_ms = clock_now_ms ();
-  c->parts = g_ptr_array_new_with_free_func (part_free);
-  TAILQ_INIT (&c->owners);
-  TAILQ_INSERT_TAIL (&settle->cases, c, link_entry);
-  holder_each_part (settle->holder, home, group, add_part, c);
-  /* A home hands tasks only to owners in a roster that their holder acknowledged: without
-   * a roster none were handed over. */
+  query->reconcile = reconcile;
+  /* Homes number their own queries to slot owners; the high bit keeps these distinct. */
+  query->id = ++reconcile->last_id | (G_GUINT64_CONSTANT (1) << 63);
+  query->begun_ms = clock_now_ms ();
+  query->parts = g_ptr_array_new_with_free_func (part_free);
+  TAILQ_INIT (&query->owners);
+  TAILQ_INSERT_TAIL (&reconcile->queries, query, link_entry);
+  holder_each_part (reconcile->holder, home, group, add_part, query);
+  /* A home sends tasks only to owners in a roster that the holder has acknowledged:
+   * without a roster none were sent. */
   for (gsize i = 0; roster != NULL && i < roster->n_backends; i++)
-    add_owner (c, roster->backends[i]);
-  case_decide (c);
+    add_owner (query, roster->backends[i]);
+  query_conclude (query);
 }
 
-static CaseOwner *
-owner_of_link (const Reconcile *settle, const Link *link)
+static QueryOwner *
+owner_of_link (const Reconcile *reconcile, const Link *link)
 {
-  Case *c;
-  CaseOwner *owner;
+  Query *query;
+  QueryOwner *owner;
 
-  TAILQ_FOREACH (c, &settle->cases, link_entry)
-    TAILQ_FOREACH (owner, &c->owners, link_entry)
+  TAILQ_FOREACH (query, &reconcile->queries, link_entry)
+    TAILQ_FOREACH (owner, &query->owners, link_entry)
       if (owner->link == link)
         return owner;
   return NULL;
 }
 
 gboolean
-reconcile_owns_link (const Reconcile *settle, const Link *link)
+reconcile_owns_link (const Reconcile *reconcile, const Link *link)
 {
-  return owner_of_link (settle, link) != NULL;
+  return owner_of_link (reconcile, link) != NULL;
 }
 
 static void
-send_fence (CaseOwner *owner, const CasePart *part)
+send_fence (QueryOwner *owner, const QueryPart *part)
 {
   Gw__Fence *fence = g_new (Gw__Fence, 1);
 
   gw__fence__init (fence);
   fence->job = message_job_id (&part->key);
   fence->up_to_attempt = ATTEMPT_LAST (part->grant);
-  fence->query = owner->owner_case->query;
+  fence->query = owner->query->id;
   fence->n_indexes = part->indexes->len;
   fence->indexes = g_memdup2 (part->indexes->data, part->indexes->len * sizeof (guint32));
   link_append (owner->link, LINK_FENCES, &fence->base);
 }
 
 static void
-lose_claimed (CaseOwner *owner)
+lose_started (QueryOwner *owner)
 {
-  Reconcile *settle = owner->owner_case->settle;
+  Reconcile *reconcile = owner->query->reconcile;
 
-  for (guint i = 0; i < owner->claimed->len; i++)
+  for (guint i = 0; i < owner->started->len; i++)
     {
-      const ClaimedTask *task = &g_array_index (owner->claimed, ClaimedTask, i);
+      const StartedTask *task = &g_array_index (owner->started, StartedTask, i);
 
-      holder_task_lost (settle->holder, &task->key, task->grant, task->index);
+      holder_task_lost (reconcile->holder, &task->key, task->grant, task->index);
     }
-  g_array_set_size (owner->claimed, 0);
+  g_array_set_size (owner->started, 0);
 }
 
 static void
-owner_silent (CaseOwner *owner)
+owner_set_unreachable (QueryOwner *owner)
 {
   link_drop (&owner->link);
-  if (owner->answer == OWNER_ASKING)
-    owner->answer = OWNER_SILENT;
-  lose_claimed (owner);
-  case_decide (owner->owner_case);
+  if (owner->answer == OWNER_PENDING)
+    owner->answer = OWNER_UNREACHABLE;
+  lose_started (owner);
+  query_conclude (owner->query);
 }
 
 gboolean
-reconcile_link_up (Reconcile *settle, Link *link)
+reconcile_link_up (Reconcile *reconcile, Link *link)
 {
-  CaseOwner *owner = owner_of_link (settle, link);
+  QueryOwner *owner = owner_of_link (reconcile, link);
   const Gw__Hello *hello = link_peer (link);
-  Case *c;
+  Query *query;
 
   if (owner == NULL)
     return FALSE;
-  c = owner->owner_case;
-  /* A restarted agent does not know what its predecessor started. */
+  query = owner->query;
+  /* A restarted agent does not know what its former incarnation started. */
   if (hello->incarnation != owner->incarnation)
     {
-      owner_silent (owner);
+      owner_set_unreachable (owner);
       return TRUE;
     }
   owner->lost_ms = 0;
-  owner->replies = c->parts->len;
-  for (guint i = 0; i < c->parts->len; i++)
-    send_fence (owner, g_ptr_array_index (c->parts, i));
+  owner->replies = query->parts->len;
+  for (guint i = 0; i < query->parts->len; i++)
+    send_fence (owner, g_ptr_array_index (query->parts, i));
   return TRUE;
 }
 
 gboolean
-reconcile_link_down (Reconcile *settle, Link *link, LinkEnd end)
+reconcile_link_down (Reconcile *reconcile, Link *link, LinkEnd end)
 {
-  CaseOwner *owner = owner_of_link (settle, link);
+  QueryOwner *owner = owner_of_link (reconcile, link);
 
   if (owner == NULL)
     return FALSE;
   g_clear_pointer (&owner->link, link_unref);
   if (end == LINK_REFUSED)
-    owner_silent (owner);
+    owner_set_unreachable (owner);
   else if (owner->lost_ms == 0)
     owner->lost_ms = clock_now_ms ();
   return TRUE;
 }
 
-static const CasePart *
-find_part (const Case *c, const JobKey *key, guint32 attempt)
+static const QueryPart *
+find_part (const Query *query, const JobKey *key, guint32 attempt)
 {
-  for (guint i = 0; i < c->parts->len; i++)
+  for (guint i = 0; i < query->parts->len; i++)
     {
-      const CasePart *part = g_ptr_array_index (c->parts, i);
+      const QueryPart *part = g_ptr_array_index (query->parts, i);
 
       if (job_key_equal (&part->key, key) && part->grant == ATTEMPT_GRANT (attempt))
         return part;
@@ -362,11 +363,11 @@
 }
 
 static gboolean
-already_claimed (const CaseOwner *owner, const ClaimedTask *task)
+has_started_task (const QueryOwner *owner, const StartedTask *task)
 {
-  for (guint i = 0; i < owner->claimed->len; i++)
+  for (guint i = 0; i < owner->started->len; i++)
     {
-      const ClaimedTask *other = &g_array_index (owner->claimed, ClaimedTask, i);
+      const StartedTask *other = &g_array_index (owner->started, StartedTask, i);
 
       if (other->index == task->index && job_key_equal (&other->key, &task->key))
         return TRUE;
@@ -375,113 +376,113 @@
 }
 
 static void
-take_claims (CaseOwner *owner, const Gw__FenceReply *reply)
+take_started (QueryOwner *owner, const Gw__FenceReply *reply)
 {
-  Case *c = owner->owner_case;
+  Query *query = owner->query;
   JobKey key = message_job_key (reply->job);
 
   for (gsize i = 0; i < reply->n_started; i++)
     {
       const Gw__TaskRef *ref = reply->started[i];
-      const CasePart *part = find_part (c, &key, ref->attempt);
-      ClaimedTask task;
+      const QueryPart *part = find_part (query, &key, ref->attempt);
+      StartedTask task;
 
       if (part == NULL)
         continue;
       task.key = key;
       task.grant = part->grant;
       task.index = ref->index;
-      holder_task_started (c->settle->holder, &key, part->grant, ref->index);
-      if (!already_claimed (owner, &task))
-        g_array_append_val (owner->claimed, task);
+      holder_task_started (query->reconcile->holder, &key, part->grant, ref->index);
+      if (!has_started_task (owner, &task))
+        g_array_append_val (owner->started, task);
     }
 }
 
 void
-reconcile_fence_reply (Reconcile *settle, Link *link, const Gw__FenceReply *reply)
+reconcile_fence_reply (Reconcile *reconcile, Link *link, const Gw__FenceReply *reply)
 {
-  CaseOwner *owner = owner_of_link (settle, link);
+  QueryOwner *owner = owner_of_link (reconcile, link);
 
-  if (owner == NULL || reply->query != owner->owner_case->query)
+  if (owner == NULL || reply->query != owner->query->id)
     return;
-  take_claims (owner, reply);
-  if (owner->replies > 0 && --owner->replies == 0 && owner->answer == OWNER_ASKING)
+  take_started (owner, reply);
+  if (owner->replies > 0 && --owner->replies == 0 && owner->answer == OWNER_PENDING)
     {
       owner->answer = OWNER_ANSWERED;
-      case_decide (owner->owner_case);
+      query_conclude (owner->query);
     }
 }
 
 static void
-drop_ended_claims (CaseOwner *owner)
+drop_ended_tasks (QueryOwner *owner)
 {
-  Reconcile *settle = owner->owner_case->settle;
+  Reconcile *reconcile = owner->query->reconcile;
 
-  for (guint i = owner->claimed->len; i > 0; i--)
+  for (guint i = owner->started->len; i > 0; i--)
     {
-      const ClaimedTask *task = &g_array_index (owner->claimed, ClaimedTask, i - 1);
+      const StartedTask *task = &g_array_index (owner->started, StartedTask, i - 1);
 
-      if (!holder_task_open (settle->holder, &task->key, task->grant, task->index))
-        g_array_remove_index_fast (owner->claimed, i - 1);
+      if (!holder_task_open (reconcile->holder, &task->key, task->grant, task->index))
+        g_array_remove_index_fast (owner->started, i - 1);
     }
 }
 
 static void
-owner_tick (CaseOwner *owner, gint64 now_ms)
+owner_tick (QueryOwner *owner, gint64 now_ms)
 {
-  Case *c = owner->owner_case;
-  guint limit_ms = c->settle->init.limit_ms;
+  Query *query = owner->query;
+  guint limit_ms = query->reconcile->init.limit_ms;
 
-  drop_ended_claims (owner);
-  if (owner->answer == OWNER_ASKING && now_ms - c->begun_ms > limit_ms)
+  drop_ended_tasks (owner);
+  if (owner->answer == OWNER_PENDING && now_ms - query->begun_ms > limit_ms)
     {
-      log_warn ("the agent of %s does not answer", owner->name);
-      owner_silent (owner);
+      log_warn ("agent of backend server %s did not answer", owner->name);
+      owner_set_unreachable (owner);
     }
   else if (owner->lost_ms > 0 && now_ms - owner->lost_ms > limit_ms)
-    owner_silent (owner);
+    owner_set_unreachable (owner);
   else if (owner->link == NULL && now_ms - owner->dialed_ms > REDIAL_MS
-           && (owner->answer == OWNER_ASKING || owner->claimed->len > 0))
+           && (owner->answer == OWNER_PENDING || owner->started->len > 0))
     owner_dial (owner);
 }
 
 static gboolean
-case_is_over (const Case *c)
+query_is_done (const Query *query)
 {
-  const CaseOwner *owner;
+  const QueryOwner *owner;
 
-  if (!c->decided)
+  if (!query->concluded)
     return FALSE;
-  TAILQ_FOREACH (owner, &c->owners, link_entry)
-    if (owner->claimed->len > 0)
+  TAILQ_FOREACH (owner, &query->owners, link_entry)
+    if (owner->started->len > 0)
       return FALSE;
   return TRUE;
 }
 
 void
-reconcile_tick (Reconcile *settle, gint64 now_ms)
+reconcile_tick (Reconcile *reconcile, gint64 now_ms)
 {
-  Case *c;
-  Case *next;
-  CaseOwner *owner;
+  Query *query;
+  Query *next;
+  QueryOwner *owner;
 
-  for (c = TAILQ_FIRST (&settle->cases); c != NULL; c = next)
+  for (query = TAILQ_FIRST (&reconcile->queries); query != NULL; query = next)
     {
-      next = TAILQ_NEXT (c, link_entry);
-      TAILQ_FOREACH (owner, &c->owners, link_entry)
+      next = TAILQ_NEXT (query, link_entry);
+      TAILQ_FOREACH (owner, &query->owners, link_entry)
         owner_tick (owner, now_ms);
-      if (case_is_over (c))
-        case_free (c);
+      if (query_is_done (query))
+        query_free (query);
     }
 }
 
 guint
-reconcile_open (const Reconcile *settle)
+reconcile_open (const Reconcile *reconcile)
 {
-  const Case *c;
+  const Query *query;
   guint n = 0;
 
-  TAILQ_FOREACH (c, &settle->cases, link_entry)
+  TAILQ_FOREACH (query, &reconcile->queries, link_entry)
     n++;
   return n;
 }
--- a/src/reconcile.h
+++ b/src/reconcile.h
@@ -1,6 +1,7 @@
 #pragma once
-/* Settlement: after a home is lost, the holder asks every slot owner that may have been
- * handed its tasks. Each answer is a fence: what the owner does not know never starts. */
+/* Reconciliation after the loss of a home: the holder asks every slot owner that may have
+ * been sent the home's tasks. An owner that answers also sets a fence: it will not start
+ * the tasks that it does not know. */
 #include "holder.h"
 #include "link.h"
 
@@ -8,23 +9,27 @@
 
 typedef struct
 {
-  guint limit_ms; /* an owner that has not answered by then proves nothing */
+  guint limit_ms; /* a slot owner that has not answered by then counts as lost */
 } ReconcileInit;
 
-Reconcile *reconcile_new (const ReconcileInit *init, const LinkConfig *links, Holder *holder);
-void reconcile_free (Reconcile *settle);
+Reconcile *
+reconcile_new (const ReconcileInit *init, const LinkConfig *links, Holder *holder);
+void reconcile_free (Reconcile *reconcile);
 
-/** reconcile_set_roster - the owners that @home may hand tasks of a group to. Copied. */
-void reconcile_set_roster (Reconcile *settle, guint64 home, const Gw__Roster *roster);
-void reconcile_forget_home (Reconcile *settle, guint64 home);
+/** reconcile_set_roster - set the slot owners that @home may send tasks of a group to.
+ * Copied.
+ */
+void reconcile_set_roster (Reconcile *reconcile, guint64 home, const Gw__Roster *roster);
+void reconcile_forget_home (Reconcile *reconcile, guint64 home);
 
-/** reconcile_begin - settle the open tasks of @home in @group. */
-void reconcile_begin (Reconcile *settle, guint64 home, const char *group);
+/** reconcile_begin - reconcile the open tasks of @home in @group. */
+void reconcile_begin (Reconcile *reconcile, guint64 home, const char *group);
 
-/** reconcile_link_up - Return: whether the link was dialed by this module. */
-gboolean reconcile_link_up (Reconcile *settle, Link *link);
-gboolean reconcile_link_down (Reconcile *settle, Link *link, LinkEnd end);
-gboolean reconcile_owns_link (const Reconcile *settle, const Link *link);
-void reconcile_fence_reply (Reconcile *settle, Link *link, const Gw__FenceReply *reply);
-void reconcile_tick (Reconcile *settle, gint64 now_ms);
-guint reconcile_open (const Reconcile *settle);
+/** reconcile_link_up - Return: whether this module dialed the link. */
+gboolean reconcile_link_up (Reconcile *reconcile, Link *link);
+gboolean reconcile_link_down (Reconcile *reconcile, Link *link, LinkEnd end);
+gboolean reconcile_owns_link (const Reconcile *reconcile, const Link *link);
+void
+reconcile_fence_reply (Reconcile *reconcile, Link *link, const Gw__FenceReply *reply);
+void reconcile_tick (Reconcile *reconcile, gint64 now_ms);
+guint reconcile_open (const Reconcile *reconcile);
