--- a/src/answers.c
+++ b/src/answers.c
@@ -15,7 +15,7 @@
 }
 
 static void
-add_text (JsonBuilder *builder, const char *name, const char *text)
+add_string (JsonBuilder *builder, const char *name, const char *text)
 {
   json_builder_set_member_name (builder, name);
   json_builder_add_string_value (builder, text);
@@ -31,11 +31,11 @@
 static void
 add_body (JsonBuilder *builder, const ProtobufCBinaryData *body)
 {
-  gboolean plain = g_utf8_validate ((const char *)body->data, (gssize)body->len, NULL);
-  char *text = plain ? g_strndup ((const char *)body->data, body->len)
-                     : g_base64_encode (body->data, body->len);
+  gboolean is_utf8 = g_utf8_validate ((const char *)body->data, (gssize)body->len, NULL);
+  char *text = is_utf8 ? g_strndup ((const char *)body->data, body->len)
+                       : g_base64_encode (body->data, body->len);
 
-  add_text (builder, plain ? "body" : "body_base64", text);
+  add_string (builder, is_utf8 ? "body" : "body_base64", text);
   g_free (text);
 }
 
@@ -62,8 +62,8 @@
 {
   const HeldTask *task;
 
-  add_text (builder, "ran", job->started ? "may have run" : "not run");
-  add_text (builder, "reason", job_reason_text (job->reason));
+  add_string (builder, "ran", job->started ? "may have run" : "not run");
+  add_string (builder, "reason", job_reason_text (job->reason));
   if (job->retry_after_s > 0)
     add_number (builder, "retry_after_s", job->retry_after_s);
   if (job->failed_index < 0)
@@ -101,8 +101,8 @@
   char id[JOB_TEXT_SIZE];
 
   json_builder_begin_object (builder);
-  add_text (builder, "job", job_key_format (&job->key, id));
-  add_text (builder, "state", job_state_name (job->state));
+  add_string (builder, "job", job_key_format (&job->key, id));
+  add_string (builder, "state", job_state_name (job->state));
   switch (job->state)
     {
     case JOB_RUNNING:
@@ -128,15 +128,15 @@
 }
 
 static Answer
-simple (int status, const char *ran, const char *reason, guint retry_after_s)
+answer_failed (int status, const char *ran, const char *reason, guint retry_after_s)
 {
   Answer answer = { status, retry_after_s };
   JsonBuilder *builder = json_builder_new ();
 
   json_builder_begin_object (builder);
-  add_text (builder, "state", "failed");
-  add_text (builder, "ran", ran);
-  add_text (builder, "reason", reason);
+  add_string (builder, "state", "failed");
+  add_string (builder, "ran", ran);
+  add_string (builder, "reason", reason);
   if (retry_after_s > 0)
     add_number (builder, "retry_after_s", retry_after_s);
   json_builder_end_object (builder);
@@ -147,13 +147,13 @@
 Answer
 answer_refusal (int status, const char *reason, guint retry_after_s)
 {
-  return simple (status, "not run", reason, retry_after_s);
+  return answer_failed (status, "not run", reason, retry_after_s);
 }
 
 Answer
 answer_unknown (int status, const char *reason)
 {
-  return simple (status, "may have run", reason, 0);
+  return answer_failed (status, "may have run", reason, 0);
 }
 
 Answer
@@ -163,9 +163,9 @@
   JsonBuilder *builder = json_builder_new ();
 
   json_builder_begin_object (builder);
-  add_text (builder, "state", "failed");
-  add_text (builder, "ran", "not run");
-  add_text (builder, "reason", "the request has faults");
+  add_string (builder, "state", "failed");
+  add_string (builder, "ran", "not run");
+  add_string (builder, "reason", "the request has faults");
   json_builder_set_member_name (builder, "faults");
   json_builder_begin_array (builder);
   for (guint i = 0; i < findings_count (findings); i++)
@@ -173,8 +173,8 @@
       const Finding *finding = findings_get (findings, i);
 
       json_builder_begin_object (builder);
-      add_text (builder, "place", finding->place);
-      add_text (builder, "message", finding->message);
+      add_string (builder, "place", finding->place);
+      add_string (builder, "message", finding->message);
       json_builder_end_object (builder);
     }
   json_builder_end_array (builder);
--- a/src/answers.h
+++ b/src/answers.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Answers as callers read them: JSON bodies and status codes. */
+/* HTTP answers to callers: status codes and JSON bodies. */
 #include "findings.h"
 #include "holder.h"
 
@@ -13,22 +13,22 @@
   char *body;
 } Answer;
 
-/** answer_of_job - the final answer of an ended job, or the state of a running one. */
+/** answer_of_job - the result of an ended job, or the state of a running one. */
 Answer answer_of_job (const HeldJob *job);
 
-/** answer_refusal - a refusal that needs no job; "not run" by its nature. */
+/** answer_refusal - a refused request: "not run". */
 Answer answer_refusal (int status, const char *reason, guint retry_after_s);
 
-/** answer_unknown - nothing more can be learned of a job: it may have run. */
+/** answer_unknown - a job whose fate cannot be learned: "may have run". */
 Answer answer_unknown (int status, const char *reason);
 
-/** answer_findings - every fault of an input with its place. */
+/** answer_findings - a refused input, with the place of every fault. */
 Answer answer_findings (int status, const Findings *findings);
 
 void answer_clear (Answer *answer);
 
-/** answer_send - send and clear. */
+/** answer_send - send the answer and clear it. */
 void answer_send (struct evhttp_request *request, Answer *answer);
 
-/** json_to_text - a builder's finished value as text; the builder is dropped. */
+/** json_to_text - the builder's value as text; frees the builder. */
 char *json_to_text (JsonBuilder *builder);
--- a/src/callers.c
+++ b/src/callers.c
@@ -12,7 +12,8 @@
 #include <sys/queue.h>
 
 #define SERVICES_PATH "/v1/services/"
-/* While a request is open its connection may be idle this long; see open_request (). */
+/* An idle connection is closed, but not while its client waits for an answer: the open
+ * timeout is longer than any job's deadline. */
 #define OPEN_TIMEOUT_S 7200
 #define IDLE_TIMEOUT_S 60
 
@@ -53,7 +54,7 @@
 void
 callers_stop_accepting (Callers *callers)
 {
-  callers->refusing = TRUE;
+  callers->stopping = TRUE;
 }
 
 guint
@@ -62,18 +63,18 @@
   return callers->open;
 }
 
-/* The client has closed its connection before its answer. A job goes on, its answer can
- * be fetched; of a direct request nobody could fetch one. */
+/* The client disconnected before it was answered. A job goes on, since its answer can be
+ * fetched later; a direct request is cancelled, since its answer cannot. */
 static void
-on_client_gone (struct evhttp_connection *connection, void *ctx)
+on_client_closed (struct evhttp_connection *connection, void *ctx)
 {
   Caller *caller = ctx;
   Holder *holder = caller->callers->init.holder;
   HeldJob *job;
 
   caller->request = NULL;
-  if (caller->reserved || caller->passed_for_key)
-    return; /* freed by the answer still under way */
+  if (caller->reserved || caller->forwarding)
+    return; /* freed when the pending call ends */
   job = holder_lookup (holder, &caller->key);
   if (job != NULL)
     holder_remove_waiter (job, caller);
@@ -83,7 +84,7 @@
 }
 
 static Caller *
-open_request (Callers *callers, struct evhttp_request *request)
+caller_new (Callers *callers, struct evhttp_request *request)
 {
   Caller *caller = g_new0 (Caller, 1);
   struct evhttp_connection *connection = evhttp_request_get_connection (request);
@@ -92,14 +93,13 @@
   caller->request = request;
   callers->open++;
   LIST_INSERT_HEAD (&callers->list, caller, link_entry);
-  /* An idle client is dropped after a short while, but not one that waits for us. */
   evhttp_connection_set_timeout (connection, OPEN_TIMEOUT_S);
-  evhttp_connection_set_closecb (connection, on_client_gone, caller);
+  evhttp_connection_set_closecb (connection, on_client_closed, caller);
   return caller;
 }
 
 static void
-detach (Caller *caller)
+restore_connection (Caller *caller)
 {
   struct evhttp_connection *connection;
 
@@ -110,11 +110,11 @@
   evhttp_connection_set_timeout (connection, IDLE_TIMEOUT_S);
 }
 
-/* Answer and end the request; with no client left, only end it. */
+/* Answers the request if its client is still connected, and frees it. */
 void
 callers_finish (Caller *caller, Answer *answer)
 {
-  detach (caller);
+  restore_connection (caller);
   if (caller->request != NULL)
     answer_send (caller->request, answer);
   answer_clear (answer);
@@ -136,7 +136,7 @@
 {
   const HeldTask *task = g_ptr_array_index (job->tasks, job->tasks->len - 1);
 
-  detach (caller);
+  restore_connection (caller);
   if (caller->request != NULL)
     http_reply (caller->request, (int)task->outcome->status, "application/octet-stream",
                 task->outcome->body.data, task->outcome->body.len, 0);
@@ -166,13 +166,13 @@
   callers_finish (caller, &answer);
 }
 
-/* Return: NULL, or why no new work can be taken now. */
+/* Return: why new work is refused now, or NULL. */
 static const char *
 refusal_reason (Callers *callers)
 {
   const Config *config = callers->init.config;
 
-  if (callers->refusing)
+  if (callers->stopping)
     return "this entry is leaving";
   if (!config_known (config))
     return "no configuration is known yet";
@@ -234,7 +234,7 @@
   callers_finish (caller, &answer);
 }
 
-/* Everything that can refuse the submission comes before its key is claimed. */
+/* All checks that may refuse the submission come before its key is claimed. */
 static void
 admit (Caller *caller)
 {
@@ -269,7 +269,7 @@
 }
 
 static gboolean
-wants_wait (struct evhttp_request *request, gboolean fallback)
+query_wait (struct evhttp_request *request, gboolean fallback)
 {
   char *value = http_query_value (request, "wait");
   gboolean wait = value == NULL ? fallback : strcmp (value, "0") != 0;
@@ -279,7 +279,7 @@
 }
 
 static gboolean
-has_size_fault (const Findings *findings)
+only_size_faults (const Findings *findings)
 {
   for (guint i = 0; i < findings_count (findings); i++)
     if (strstr (findings_get (findings, i)->message, "no worker can hold") == NULL)
@@ -288,7 +288,7 @@
 }
 
 static gboolean
-refuse_large (Callers *callers, struct evhttp_request *request)
+refuse_too_large (Callers *callers, struct evhttp_request *request)
 {
   gsize size = evbuffer_get_length (evhttp_request_get_input_buffer (request));
   Answer answer;
@@ -304,16 +304,16 @@
 static void
 serve_submit (Callers *callers, struct evhttp_request *request)
 {
-  Caller *caller = open_request (callers, request);
+  Caller *caller = caller_new (callers, request);
   Findings *findings = findings_new ();
   gsize size;
   char *body = http_request_body (request, &size);
 
-  caller->wait = wants_wait (request, TRUE);
+  caller->wait = query_wait (request, TRUE);
   caller->submission
       = submission_parse (body, size, config_fleet (callers->init.config), findings);
   if (caller->submission == NULL)
-    refuse_findings (caller, has_size_fault (findings) ? 422 : 400, findings);
+    refuse_findings (caller, only_size_faults (findings) ? 422 : 400, findings);
   else
     admit (caller);
   findings_free (findings);
@@ -356,7 +356,7 @@
 static void
 serve_direct (Callers *callers, struct evhttp_request *request, const char *service)
 {
-  Caller *caller = open_request (callers, request);
+  Caller *caller = caller_new (callers, request);
   Submission *submission = g_new0 (Submission, 1);
   Findings *findings = findings_new ();
   TaskSpec *spec = g_new0 (TaskSpec, 1);
@@ -397,12 +397,12 @@
 static void
 serve_job (Callers *callers, struct evhttp_request *request, const char *id)
 {
-  Caller *caller = open_request (callers, request);
+  Caller *caller = caller_new (callers, request);
   const Member *member;
   HeldJob *job;
   Answer answer;
 
-  caller->wait = wants_wait (request, FALSE);
+  caller->wait = query_wait (request, FALSE);
   if (!job_key_parse (id, &caller->key))
     {
       callers_refuse (caller, 400, "the path names no job id", 0);
@@ -450,7 +450,7 @@
     {
       if (method != EVHTTP_REQ_POST)
         refuse_method (request);
-      else if (!refuse_large (callers, request))
+      else if (!refuse_too_large (callers, request))
         serve_submit (callers, request);
       return TRUE;
     }
@@ -466,7 +466,7 @@
     {
       if (method != EVHTTP_REQ_POST)
         refuse_method (request);
-      else if (!refuse_large (callers, request))
+      else if (!refuse_too_large (callers, request))
         serve_direct (callers, request, path + strlen (SERVICES_PATH));
       return TRUE;
     }
--- a/src/callers.h
+++ b/src/callers.h
@@ -1,6 +1,6 @@
 #pragma once
-/* Callers' requests over HTTP: jobs submitted, waited for, fetched from any entry and
- * cancelled; direct requests to a service. */
+/* The callers' HTTP interface: submit, wait for, fetch and cancel jobs, at any entry;
+ * direct requests to a service. */
 #include "claims.h"
 #include "config.h"
 #include "holder.h"
@@ -23,11 +23,11 @@
 Callers *callers_new (const CallersInit *init);
 void callers_free (Callers *callers);
 
-/** callers_serve - Return: FALSE if the request is not one of a caller's. */
+/** callers_serve - Return: FALSE if the path is not part of the callers' interface. */
 gboolean callers_serve (Callers *callers, struct evhttp_request *request);
 
-/** callers_stop_accepting - take nothing new: the entry leaves. */
+/** callers_stop_accepting - refuse new work from now on: the entry is leaving. */
 void callers_stop_accepting (Callers *callers);
 
-/** callers_open - requests not yet answered. */
+/** callers_open - number of unanswered requests. */
 guint callers_open (const Callers *callers);
--- a/src/callers_keys.c
+++ b/src/callers_keys.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "callers"
-/* Keys that were used before, and jobs that other entries hold: the holder is asked. */
+/* Repeated keys, and jobs held by other entries: the holder is asked. */
 #include "answers.h"
 #include "callers_parts.h"
 #include "http.h"
@@ -9,8 +9,8 @@
 #include <event2/keyvalq_struct.h>
 #include <sys/queue.h>
 
-#define PASS_TIMEOUT_MS 3600000
-#define PASS_CONNECTIONS 64
+#define FORWARD_TIMEOUT_MS 3600000
+#define FORWARD_CONNECTIONS 64
 
 static HttpPool *
 pool_for (Callers *callers, const char *address)
@@ -19,13 +19,13 @@
 
   if (pool != NULL)
     return pool;
-  pool = http_pool_new (callers->init.base, address, PASS_CONNECTIONS);
+  pool = http_pool_new (callers->init.base, address, FORWARD_CONNECTIONS);
   g_hash_table_insert (callers->pools, g_strdup (address), pool);
   return pool;
 }
 
-/* Another holder's word on a repeated key: TRUE if the job it held is proved not to have
- * run, so that this submission may run in its stead. */
+/* Whether the holder of the job with the same key has proof that it did not run, so that
+ * this submission may run instead. */
 static gboolean
 says_not_run (const HttpAnswer *answer)
 {
@@ -53,7 +53,7 @@
 }
 
 static void
-relay_answer (Caller *caller, const HttpAnswer *from)
+forward_answer (Caller *caller, const HttpAnswer *from)
 {
   Answer answer
       = { from->status, from->retry_after != NULL ? (guint)atoi (from->retry_after) : 0,
@@ -63,12 +63,12 @@
 }
 
 static void
-on_passed (const HttpAnswer *from, gpointer ctx)
+on_forwarded (const HttpAnswer *from, gpointer ctx)
 {
   Caller *caller = ctx;
   Answer answer;
 
-  caller->passed_for_key = FALSE;
+  caller->forwarding = FALSE;
   if (from->end != HTTP_ANSWERED || (caller->reserved && from->status == 404))
     {
       answer = answer_unknown (caller->reserved ? 409 : 502,
@@ -79,10 +79,9 @@
   if (caller->reserved && !caller->took_over && says_not_run (from))
     take_over (caller);
   else
-    relay_answer (caller, from);
+    forward_answer (caller, from);
 }
 
-/* Ask the entry that holds a job. */
 void
 callers_forward (Caller *caller,
                  const Member *member,
@@ -96,11 +95,11 @@
   HttpCall call = { .method = method,
                     .path = path,
                     .headers = headers,
-                    .timeout_ms = PASS_TIMEOUT_MS,
-                    .done = on_passed,
+                    .timeout_ms = FORWARD_TIMEOUT_MS,
+                    .done = on_forwarded,
                     .ctx = caller };
 
-  caller->passed_for_key = TRUE;
+  caller->forwarding = TRUE;
   http_pool_call (pool_for (caller->callers, member->http_address), &call);
   g_free (path);
 }
@@ -116,7 +115,7 @@
 }
 
 static void
-attach_to_own (Caller *caller)
+join_own_job (Caller *caller)
 {
   Callers *callers = caller->callers;
   HeldJob *job = holder_lookup (callers->init.holder, &caller->other);
@@ -145,9 +144,9 @@
   callers_finish (caller, &answer);
 }
 
-/* The key was used before: the caller gets that job's answer, never a second run. */
+/* The key was used before: answers with that job's result instead of a second run. */
 static void
-attach (Caller *caller)
+join_first_job (Caller *caller)
 {
   Callers *callers = caller->callers;
   const Member *member;
@@ -155,7 +154,7 @@
 
   if (caller->other.holder == callers->init.incarnation)
     {
-      attach_to_own (caller);
+      join_own_job (caller);
       return;
     }
   member = callers_find_member (callers, caller->other.holder);
@@ -181,7 +180,7 @@
       break;
     case CLAIM_REPEATED:
       caller->other = *other;
-      attach (caller);
+      join_first_job (caller);
       break;
     case CLAIM_UNREACHABLE:
       callers_refuse (caller, 503,
--- a/src/callers_parts.h
+++ b/src/callers_parts.h
@@ -1,34 +1,34 @@
 #pragma once
-/* What the parts of the callers' side share. callers.c reads requests and answers them,
- * callers_keys.c deals with keys used before and with jobs held elsewhere. */
+/* Internals shared by callers.c (requests and answers) and callers_keys.c (repeated keys,
+ * jobs held by other entries). */
 #include "answers.h"
 #include "callers.h"
 #include "submission.h"
 
 #define JOBS_PATH "/v1/jobs"
-/* Marks a request that another entry passed on, so that none goes in circles. */
+/* Marks a request forwarded by another entry: it is not forwarded again, so no loops. */
 #define FORWARDED_HEADER "X-Godwitspar-Passed"
 
-/* One open request. */
+/* An open request. */
 typedef struct Caller
 {
   LIST_ENTRY (Caller) link_entry;
   Callers *callers;
-  struct evhttp_request *request; /* NULL once the client has gone */
+  struct evhttp_request *request; /* NULL once the client has disconnected */
   JobKey key;
-  gboolean reserved; /* an id was taken, and no job made of it yet */
+  gboolean reserved; /* key is reserved, its job not submitted yet */
   Submission *submission;
   gboolean direct;
   gboolean wait;
-  gboolean passed_for_key; /* asking another holder about a repeated key */
-  gboolean took_over;
-  JobKey other;
+  gboolean forwarding; /* waiting for another entry's answer */
+  gboolean took_over;  /* has tried to take over the key claim */
+  JobKey other;        /* the job that has the caller's key */
 } Caller;
 
 struct Callers
 {
   CallersInit init;
-  gboolean refusing;
+  gboolean stopping;
   guint open;
   LIST_HEAD (, Caller) list;
   GHashTable *pools; /* HTTP address of an entry -> HttpPool */
@@ -48,6 +48,6 @@
                       enum evhttp_cmd_type method);
 const Member *callers_find_member (Callers *callers, guint64 incarnation);
 
-/* Callbacks that both parts hand out. */
+/* Callbacks used by both files. */
 void callers_on_job_done (const HeldJob *job, gpointer ctx);
 void callers_on_key_claimed (ClaimResult result, const JobKey *other, gpointer ctx);
--- a/src/claims.c
+++ b/src/claims.c
@@ -8,7 +8,7 @@
 #define ROW_PREFIX "keys/"
 #define ROW_TTL_S 86400
 #define BATCH_MAX 256
-#define READBACK_MS 100
+#define READ_DELAY_MS 100
 
 typedef struct Claim
 {
@@ -20,10 +20,10 @@
   gboolean takes_over;
   JobKey instead_of;
   gint64 if_version;
-  struct event *timer;
-  struct event *limit;
-  gboolean is_waiting; /* for its turn to be written */
-  gboolean expired;    /* ended, and freed once the call that it is in has ended */
+  struct event *read_timer;
+  struct event *timeout;
+  gboolean queued;  /* in claims->waiting */
+  gboolean expired; /* reported; freed when its pending call ends */
   ClaimDone done;
   gpointer ctx;
 } Claim;
@@ -32,13 +32,13 @@
 {
   struct event_base *base;
   Table *table;
-  guint limit_ms;
-  guint gap_ms; /* least time from one write to the next */
-  gint64 written_ms;
-  struct event *pace;
+  guint timeout_ms;
+  guint write_interval_ms; /* minimum */
+  gint64 last_write_ms;
+  struct event *write_timer;
   gboolean writing;
   TAILQ_HEAD (ClaimList, Claim) waiting;
-  TAILQ_HEAD (, Claim) written; /* in the write under way, in its order */
+  TAILQ_HEAD (, Claim) written; /* in the pending write, in its order */
   TAILQ_HEAD (, Claim) reading;
 };
 
@@ -47,15 +47,15 @@
 static void
 claim_free (Claim *claim)
 {
-  event_free (claim->timer);
-  event_free (claim->limit);
+  event_free (claim->read_timer);
+  event_free (claim->timeout);
   g_free (claim->row_key);
   g_free (claim->value);
   g_free (claim);
 }
 
 static void
-claim_tell (Claim *claim, ClaimResult result, const JobKey *other)
+claim_report (Claim *claim, ClaimResult result, const JobKey *other)
 {
   if (result == CLAIM_UNREACHABLE)
     counter_add (COUNTER_CLAIMS_REFUSED, 1);
@@ -67,44 +67,46 @@
 static void
 claim_end (Claim *claim, ClaimResult result, const JobKey *other)
 {
-  claim_tell (claim, result, other);
+  claim_report (claim, result, other);
   claim_free (claim);
 }
 
 static void
 claim_queue (Claim *claim)
 {
-  claim->is_waiting = TRUE;
+  claim->queued = TRUE;
   TAILQ_INSERT_TAIL (&claim->claims->waiting, claim, link_entry);
 }
 
 static void
-claim_unqueue (Claim *claim)
+claim_dequeue (Claim *claim)
 {
-  claim->is_waiting = FALSE;
+  claim->queued = FALSE;
   TAILQ_REMOVE (&claim->claims->waiting, claim, link_entry);
 }
 
-/* A call that is under way goes on: its place in the write counts. */
+/* A claim in a pending write stays in the list, which is matched to the results by order.
+ */
 static void
-on_limit (evutil_socket_t fd, short what, void *ctx)
+on_timeout (evutil_socket_t fd, short what, void *ctx)
 {
   Claim *claim = ctx;
 
-  if (claim->is_waiting)
+  if (claim->queued)
     {
-      claim_unqueue (claim);
+      claim_dequeue (claim);
       claim_end (claim, CLAIM_UNREACHABLE, NULL);
       return;
     }
-  claim_tell (claim, CLAIM_UNREACHABLE, NULL);
+  claim_report (claim, CLAIM_UNREACHABLE, NULL);
   claim->expired = TRUE;
 }
 
-/* What stands in the row decides: our own id if an earlier answer was lost, a job that we
- * may take over from, or the job that was first. Takes the claim. */
+/* Resolves the claim by the job in the row: its own if an earlier answer was lost, the
+ * one that it may take over from, or another that was first. Takes ownership of the
+ * claim. */
 static void
-claim_decide (Claim *claim, const char *value, gint64 version)
+claim_resolve (Claim *claim, const char *value, gint64 version)
 {
   JobKey other = { 0, 0 };
 
@@ -124,12 +126,12 @@
 }
 
 static void
-claim_read_later (Claim *claim)
+claim_schedule_read (Claim *claim)
 {
-  struct timeval delay = timeval_from_ms (READBACK_MS);
+  struct timeval delay = timeval_from_ms (READ_DELAY_MS);
 
   TAILQ_INSERT_TAIL (&claim->claims->reading, claim, link_entry);
-  event_add (claim->timer, &delay);
+  event_add (claim->read_timer, &delay);
 }
 
 static void
@@ -142,16 +144,16 @@
   if (claim->expired)
     claim_free (claim);
   else if (status == TABLE_OK)
-    claim_decide (claim, row->value, row->version);
+    claim_resolve (claim, row->value, row->version);
   else if (status == TABLE_MISSING)
     claim_queue (claim);
   else
-    claim_read_later (claim);
+    claim_schedule_read (claim);
   write_waiting (claims);
 }
 
 static void
-on_timer (evutil_socket_t fd, short what, void *ctx)
+on_read_timer (evutil_socket_t fd, short what, void *ctx)
 {
   Claim *claim = ctx;
 
@@ -172,14 +174,14 @@
   else if (status == TABLE_NOT_SENT)
     claim_end (claim, CLAIM_UNREACHABLE, NULL);
   else if (status != TABLE_OK)
-    /* It may have taken effect: only the row can tell. */
-    claim_read_later (claim);
+    /* The write may have been applied: read the row to find out. */
+    claim_schedule_read (claim);
   else if (write->done)
     claim_end (claim, CLAIM_TAKEN, NULL);
   else if (write->found != NULL)
-    claim_decide (claim, write->found, write->version);
+    claim_resolve (claim, write->found, write->version);
   else
-    claim_read_later (claim);
+    claim_schedule_read (claim);
 }
 
 static void
@@ -199,23 +201,23 @@
 }
 
 static void
-write_later (Claims *claims, gint64 delay_ms)
+schedule_write (Claims *claims, gint64 delay_ms)
 {
   struct timeval delay = timeval_from_ms ((guint)delay_ms);
 
-  if (!event_pending (claims->pace, EV_TIMEOUT, NULL))
-    event_add (claims->pace, &delay);
+  if (!event_pending (claims->write_timer, EV_TIMEOUT, NULL))
+    event_add (claims->write_timer, &delay);
 }
 
-/* One write is under way at a time, and no two closer than the gap; what arrives
- * meanwhile shares the next one. All entries share the table's few hundred writes a
- * second: without a pace, each would write as often as the table answers, and slow it for
- * all. */
+/* One write is pending at a time, with a minimum interval between two; claims that arrive
+ * meanwhile share the next one. All entries share the table's few hundred writes a
+ * second: without the interval each would write as fast as the table answers, and slow it
+ * down for all. */
 static void
 write_waiting (Claims *claims)
 {
   gint64 now = clock_now_ms ();
-  gint64 due = claims->written_ms + claims->gap_ms;
+  gint64 due = claims->last_write_ms + claims->write_interval_ms;
   GPtrArray *writes;
   Claim *claim;
 
@@ -223,41 +225,41 @@
     return;
   if (now < due)
     {
-      write_later (claims, due - now);
+      schedule_write (claims, due - now);
       return;
     }
   writes = table_writes_new ();
   while (writes->len < BATCH_MAX && (claim = TAILQ_FIRST (&claims->waiting)) != NULL)
     {
-      claim_unqueue (claim);
+      claim_dequeue (claim);
       TAILQ_INSERT_TAIL (&claims->written, claim, link_entry);
       table_writes_add (writes, claim->row_key, claim->value, claim->if_version,
                         ROW_TTL_S);
     }
   claims->writing = TRUE;
-  claims->written_ms = now;
+  claims->last_write_ms = now;
   counter_add (COUNTER_CLAIMS_WRITTEN, writes->len);
   counter_add (COUNTER_CLAIM_BATCHES, 1);
   table_write (claims->table, writes, on_written, claims);
 }
 
 static void
-on_pace (evutil_socket_t fd, short what, void *ctx)
+on_write_timer (evutil_socket_t fd, short what, void *ctx)
 {
   write_waiting (ctx);
 }
 
 Claims *
-claims_new (struct event_base *base, Table *table, guint limit_ms, guint writes_per_s)
+claims_new (struct event_base *base, Table *table, guint timeout_ms, guint writes_per_s)
 {
   Claims *claims = g_new0 (Claims, 1);
 
   claims->base = base;
   claims->table = table;
-  claims->limit_ms = limit_ms;
-  claims->gap_ms = 1000 / writes_per_s;
-  claims->written_ms = -(gint64)claims->gap_ms;
-  claims->pace = evtimer_new (base, on_pace, claims);
+  claims->timeout_ms = timeout_ms;
+  claims->write_interval_ms = 1000 / writes_per_s;
+  claims->last_write_ms = -(gint64)claims->write_interval_ms;
+  claims->write_timer = evtimer_new (base, on_write_timer, claims);
   TAILQ_INIT (&claims->waiting);
   TAILQ_INIT (&claims->written);
   TAILQ_INIT (&claims->reading);
@@ -273,7 +275,7 @@
     return;
   while ((claim = TAILQ_FIRST (&claims->waiting)) != NULL)
     {
-      claim_unqueue (claim);
+      claim_dequeue (claim);
       claim_free (claim);
     }
   while ((claim = TAILQ_FIRST (&claims->reading)) != NULL)
@@ -281,7 +283,7 @@
       TAILQ_REMOVE (&claims->reading, claim, link_entry);
       claim_free (claim);
     }
-  event_free (claims->pace);
+  event_free (claims->write_timer);
   g_free (claims);
 }
 
@@ -301,7 +303,7 @@
              gpointer ctx)
 {
   Claim *claim = g_new0 (Claim, 1);
-  struct timeval limit = timeval_from_ms (claims->limit_ms);
+  struct timeval timeout = timeval_from_ms (claims->timeout_ms);
   char text[JOB_TEXT_SIZE];
 
   claim->claims = claims;
@@ -311,9 +313,9 @@
   claim->takes_over = instead_of != NULL;
   if (instead_of != NULL)
     claim->instead_of = *instead_of;
-  claim->timer = evtimer_new (claims->base, on_timer, claim);
-  claim->limit = evtimer_new (claims->base, on_limit, claim);
-  event_add (claim->limit, &limit);
+  claim->read_timer = evtimer_new (claims->base, on_read_timer, claim);
+  claim->timeout = evtimer_new (claims->base, on_timeout, claim);
+  event_add (claim->timeout, &timeout);
   claim->done = done;
   claim->ctx = ctx;
   claim_queue (claim);
@@ -337,7 +339,8 @@
 static void
 on_released (TableStatus status, GPtrArray *writes, gpointer ctx)
 {
-  /* If it failed, a resubmission asks the job's holder and takes the claim over. */
+  /* If the write failed, a resubmission asks the job's holder and takes the claim over.
+   */
 }
 
 static void
--- a/src/jobid.h
+++ b/src/jobid.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Identities: jobs name the entry that holds them, tasks are an index in a job. */
+/* Ids of jobs and tasks, and numbers of attempts. */
 #include <glib.h>
 
 typedef struct
@@ -14,13 +14,13 @@
   guint32 index;
 } TaskKey;
 
-/* An attempt orders all hand-overs of one task: the holder's grant in the high half, the
- * home's placement under that grant in the low half. */
+/* Attempts number the starts sent for one task, in ascending order: the holder's grant in
+ * the high half, the home's placement under that grant in the low half. */
 #define ATTEMPT_MAKE(grant, placement) (((guint32)(grant) << 16) | (guint16)(placement))
 #define ATTEMPT_GRANT(attempt) ((attempt) >> 16)
 #define ATTEMPT_LAST(grant) ATTEMPT_MAKE (grant, 0xffff)
 
-/* "hhhhhhhhhhhhhhhh-n" and its terminator */
+/* For "hhhhhhhhhhhhhhhh-n" and its terminator. */
 #define JOB_TEXT_SIZE 40
 
 guint job_key_hash (gconstpointer key);
@@ -28,11 +28,11 @@
 guint task_key_hash (gconstpointer key);
 gboolean task_key_equal (gconstpointer a, gconstpointer b);
 
-/** job_key_format - write the id as callers see it. Return: @text. */
+/** job_key_format - write the id in the callers' form. Return: @text. */
 const char *job_key_format (const JobKey *key, char text[JOB_TEXT_SIZE]);
 
-/** job_key_parse - read an id as callers send it. Return: FALSE if it is not one. */
+/** job_key_parse - read an id in the callers' form. Return: FALSE if it is invalid. */
 gboolean job_key_parse (const char *text, JobKey *key);
 
-/** incarnation_new - a random number that no earlier start of any process has had. */
+/** incarnation_new - a random number, unique to this start of the process; never 0. */
 guint64 incarnation_new (void);
--- a/src/submission.c
+++ b/src/submission.c
@@ -4,7 +4,7 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-#define KEY_MAX_LENGTH 128
+#define KEY_LENGTH_MAX 128
 #define DEADLINE_MAX_MS 3600000
 #define DECLARED_MAX_MS 3600000
 #define MEMORY_MAX_MB (1 << 24)
@@ -14,16 +14,16 @@
   Submission *submission;
   const Fleet *fleet;
   Findings *findings;
-  const char *service; /* of tasks that name none */
+  const char *service; /* default of the tasks */
   guint declared_ms;
   guint memory_mb;
   gboolean non_idempotent;
 } Parser;
 
 static gboolean
-check_key (const char *text)
+key_is_valid (const char *text)
 {
-  if (text[0] == '\0' || strlen (text) > KEY_MAX_LENGTH)
+  if (text[0] == '\0' || strlen (text) > KEY_LENGTH_MAX)
     return FALSE;
   for (const char *c = text; *c != '\0'; c++)
     if (!g_ascii_isgraph (*c) || *c == '/')
@@ -41,8 +41,8 @@
 read_number (Parser *parser,
              const char *place,
              JsonNode *node,
-             gint64 least,
-             gint64 most,
+             gint64 min,
+             gint64 max,
              guint *target)
 {
   gint64 number;
@@ -53,10 +53,10 @@
       return;
     }
   number = json_node_get_int (node);
-  if (number < least || number > most)
+  if (number < min || number > max)
     findings_add (parser->findings, place,
-                  "expected a number from %" G_GINT64_FORMAT " to %" G_GINT64_FORMAT,
-                  least, most);
+                  "expected a number from %" G_GINT64_FORMAT " to %" G_GINT64_FORMAT, min,
+                  max);
   else
     *target = (guint)number;
 }
@@ -96,7 +96,7 @@
   const char *text
       = value_type (node) == G_TYPE_STRING ? json_node_get_string (node) : NULL;
   guchar *bytes;
-  char *again;
+  char *encoded;
   gsize size;
 
   if (text == NULL)
@@ -111,12 +111,12 @@
       return;
     }
   bytes = g_base64_decode (text, &size);
-  /* The decoder skips what it does not know; a payload must not change on its way. */
-  again = g_base64_encode (bytes, size);
-  if (strcmp (again, text) != 0)
+  /* The decoder silently skips invalid characters: encode again to find them. */
+  encoded = g_base64_encode (bytes, size);
+  if (strcmp (encoded, text) != 0)
     findings_add (parser->findings, place, "not valid base64");
   spec->payload = g_bytes_new_take (bytes, size);
-  g_free (again);
+  g_free (encoded);
 }
 
 static void
@@ -214,7 +214,7 @@
 read_tasks (Parser *parser, JsonNode *node)
 {
   JsonArray *array;
-  guint most;
+  guint max;
   guint n;
 
   if (!JSON_NODE_HOLDS_ARRAY (node))
@@ -224,11 +224,11 @@
     }
   array = json_node_get_array (node);
   n = json_array_get_length (array);
-  most = fleet_service (parser->fleet, parser->service != NULL ? parser->service : "")
-             ->max_tasks;
-  if (n == 0 || n > most)
+  max = fleet_service (parser->fleet, parser->service != NULL ? parser->service : "")
+            ->max_tasks;
+  if (n == 0 || n > max)
     {
-      findings_add (parser->findings, "tasks", "expected 1 to %u tasks, found %u", most,
+      findings_add (parser->findings, "tasks", "expected 1 to %u tasks, found %u", max,
                     n);
       return;
     }
@@ -249,7 +249,7 @@
     }
   else if (strcmp (name, "key") == 0)
     {
-      text = read_text (parser, name, node, check_key,
+      text = read_text (parser, name, node, key_is_valid,
                         "1 to 128 printable characters without '/' and blanks");
       submission->client_key = g_strdup (text);
     }
--- a/src/submission.h
+++ b/src/submission.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Submissions as callers write them: JSON in, a checked job or all findings out. */
+/* Parses and validates the JSON of a submitted job. */
 #include "findings.h"
 #include "fleet.h"
 #include "holder.h"
@@ -14,8 +14,8 @@
 } Submission;
 
 /**
- * submission_parse - read the body of a POST to /v1/jobs.
- * @findings: every fault with its place, such as "tasks[3].payload".
+ * submission_parse - parse the body of a POST to /v1/jobs.
+ * @findings: gets every fault with its place, such as "tasks[3].payload".
  * Return: NULL if there was any fault.
  */
 Submission *
