--- a/tests/test-answers.c
+++ b/tests/test-answers.c
@@ -1,5 +1,5 @@
-/* Every caller gets the whole answer to its own request; refusals are honest and at once.
- */
+/* Each caller gets the complete answer to its own request; refusals are immediate and say
+ * correctly what ran. */
 #include "cases.h"
 #include "jobs.h"
 #include "relay.h"
@@ -10,9 +10,8 @@
 #define BIG_TASKS 12
 #define BIG_BYTES G_GUINT64_CONSTANT (2000000)
 
-/* Symptom: answers swapped or cut among many callers at once.
- * Sequence: hundreds of jobs with payloads of their own over all entries, run times mixed
- * so that outcomes come late and out of order. */
+/* Answers must not be swapped or truncated among many concurrent callers: each job has a
+ * payload of its own, and mixed run times put the outcomes out of order. */
 static void
 test_many_callers (void)
 {
@@ -29,8 +28,8 @@
   harness_free (harness);
 }
 
-/* Symptom: an answer larger than one frame is cut or fails.
- * Sequence: each of 12 tasks answers with 2 MB, while a frame is sent at 1 MB. */
+/* An answer larger than one frame must not be truncated or fail: each of 12 tasks answers
+ * with 2 MB, while a frame is sent once it has 1 MB. */
 static void
 test_big_answers (void)
 {
@@ -52,7 +51,7 @@
   harness_free (harness);
 }
 
-/* Symptom: a job with one failed task is answered with the others' answers. */
+/* A job with one failed task must not be answered with the results of the others. */
 static void
 test_one_of_many_fails (void)
 {
@@ -80,9 +79,9 @@
   harness_free (harness);
 }
 
-/* Symptom: under overload a hopeless request waits until its deadline.
- * Sequence: one slot, a backlog of seconds, jobs whose deadline is far shorter.
- * Cause: admission that counts and does not look at the expected wait. */
+/* Under overload an infeasible job must be refused at once, not at its deadline. An
+ * admission check that counts jobs and ignores the expected wait accepts it. One server
+ * with a backlog of seconds gets jobs with a far shorter deadline. */
 static void
 test_overload_refused_at_once (void)
 {
@@ -106,7 +105,7 @@
         continue;
       refused++;
       g_assert_cmpint (job->exchange->retry_after_s, >=, 1);
-      /* Only admission says 503; what is held until its deadline ends as 504. */
+      /* Admission control answers 503; a job that waited until its deadline, 504. */
       g_assert_nonnull (strstr (job->exchange->body, "expected wait"));
     }
   g_assert_cmpuint (refused, >=, 15);
@@ -117,7 +116,8 @@
   harness_free (harness);
 }
 
-/* Symptom: a size that nothing can hold waits for ever, or is called a bad request. */
+/* A task too large for every worker must be refused as such, not wait for ever or be
+ * answered as a bad request. */
 static void
 test_impossible_size (void)
 {
@@ -139,8 +139,8 @@
   harness_free (harness);
 }
 
-/* Symptom: a backend server's connection is silently dead, and its task hangs for ever.
- * Sequence: the server takes the task and closes the connection without an answer. */
+/* A task must not hang when the backend server takes it and closes the connection without
+ * an answer. */
 static void
 test_dropped_connection (void)
 {
@@ -160,7 +160,7 @@
   harness_free (harness);
 }
 
-/* Symptom: a backend server that never answers holds its caller until the job's deadline.
+/* A backend server that never answers must not block its caller until the job's deadline.
  */
 static void
 test_call_too_long (void)
@@ -188,8 +188,8 @@
   harness_free (harness);
 }
 
-/* Symptom: a dead backend server's tasks are answered "may have run" although nothing was
- * sent, or they are lost although others could run them. */
+/* With one backend server dead, tasks never sent to it must not be answered "may have
+ * run", nor be lost while another server can run them. */
 static void
 test_dead_backend_server (void)
 {
@@ -205,10 +205,9 @@
   harness_free (harness);
 }
 
-/* Symptom: bytes that are no frame, or a client that sends half a request and stops, cost
- * the entry its life, its memory or its other links.
- * Sequence: garbage, a frame of 4 GB and a frame without a Hello to the frames' port;
- * half a request to the HTTP port; then ordinary work. */
+/* Invalid frames and incomplete requests must not crash the entry, exhaust its memory or
+ * break its other links: garbage, a frame of 4 GB and a frame before the Hello go to the
+ * frame port, half a request to the HTTP port, then ordinary jobs. */
 static void
 test_hostile_bytes (void)
 {
@@ -257,8 +256,9 @@
   { "marked-true", "true", 502, 3 },
 };
 
-/* A direct request may run again only if it is marked as idempotent, and then a bounded
- * number of times. */
+/* A direct request is retried only if marked as idempotent, and a limited number of
+ * times.
+ */
 static void
 test_retry (gconstpointer data)
 {
@@ -269,7 +269,7 @@
   const char *headers[] = { "X-Idempotent", c->idempotent, NULL };
   Exchange *exchange;
 
-  /* Fill the retry budget: a tenth of first tries. */
+  /* Fill the retry budget: a tenth of the first attempts. */
   for (guint i = 0; i < 40; i++)
     exchange_free (harness_post (harness, entry, "/v1/services/exchange", "0:fill"));
   harness_fault (harness, harness_backend (harness, 0), "drop");
@@ -286,10 +286,9 @@
 #define JOBS_BOUND 2
 #define JOBS_SENT 6
 
-/* Symptom: an entry that takes every job grows until its machine ends it, and all callers
- *   lose their answers.
- * Sequence: more jobs at once than limits.max_jobs.
- * Cause: jobs held without a bound. What is beyond it is refused at once, as not run. */
+/* Jobs beyond limits.max_jobs must be refused at once as not run: an entry that holds
+ * jobs without a limit is killed when memory runs out, and all its callers lose their
+ * answers. */
 static void
 test_jobs_bound (void)
 {
@@ -322,65 +321,65 @@
   harness_free (harness);
 }
 
-#define VANISHING 20
-/* The test's own connections. */
+#define DISCONNECTS 20
+/* For the test's own connections. */
 #define FILES_MARGIN 2
 
 typedef struct
 {
   Harness *harness;
   guint64 files;
-} Vanished;
+} DisconnectTest;
 
 static gboolean
-all_taken (gpointer ctx)
+all_submitted (gpointer ctx)
 {
-  const Vanished *vanished = ctx;
+  const DisconnectTest *fixture = ctx;
 
-  return harness_counter (vanished->harness, harness_entry (vanished->harness, 0)->http,
+  return harness_counter (fixture->harness, harness_entry (fixture->harness, 0)->http,
                           "jobs_submitted")
-         == VANISHING;
+         == DISCONNECTS;
 }
 
 static gboolean
-nothing_lasts (gpointer ctx)
+all_released (gpointer ctx)
 {
-  const Vanished *vanished = ctx;
-  const char *entry = harness_entry (vanished->harness, 0)->http;
+  const DisconnectTest *fixture = ctx;
+  const char *entry = harness_entry (fixture->harness, 0)->http;
 
-  return harness_counter (vanished->harness, entry, "jobs_complete") == VANISHING
-         && harness_counter (vanished->harness, entry, "process_open_files")
-                <= vanished->files + FILES_MARGIN;
+  return harness_counter (fixture->harness, entry, "jobs_complete") == DISCONNECTS
+         && harness_counter (fixture->harness, entry, "process_open_files")
+                <= fixture->files + FILES_MARGIN;
 }
 
-/* Symptom: callers that go away while they wait cost the entry connections or memory.
- * Sequence: requests are taken, their connections close before the answers, and others
- *   send half a request and nothing more.
- * Cause: an answer written to a request whose connection is freed, or kept for nobody. */
+/* Callers that disconnect while they wait, or after half a request, must not leak
+ * connections or memory: an answer must not be written to a freed connection, nor
+ * retained when no client is left to read it. */
 static void
-test_vanished_callers (void)
+test_disconnected_callers (void)
 {
   static const char body[] = "{\"service\":\"exchange\",\"tasks\":[{\"payload\":"
                              "\"300:x\"}]}";
-  HarnessInit init = { .entries = 1, .backends = 1, .slots = VANISHING };
-  Vanished vanished = { harness_new (&init) };
-  const char *entry = harness_entry (vanished.harness, 0)->http;
+  HarnessInit init = { .entries = 1, .backends = 1, .slots = DISCONNECTS };
+  DisconnectTest fixture = { harness_new (&init) };
+  const char *entry = harness_entry (fixture.harness, 0)->http;
   char *request = g_strdup_printf ("POST /v1/jobs HTTP/1.1\r\nHost: x\r\n"
                                    "Content-Length: %zu\r\n\r\n%s",
                                    strlen (body), body);
 
-  vanished.files = harness_counter (vanished.harness, entry, "process_open_files");
-  for (guint i = 0; i < VANISHING; i++)
+  fixture.files = harness_counter (fixture.harness, entry, "process_open_files");
+  for (guint i = 0; i < DISCONNECTS; i++)
     {
-      harness_send_raw (vanished.harness, entry, request, strlen (request));
-      harness_send_raw (vanished.harness, entry, request, strlen (request) / 2);
+      harness_send_raw (fixture.harness, entry, request, strlen (request));
+      harness_send_raw (fixture.harness, entry, request, strlen (request) / 2);
     }
-  harness_wait (vanished.harness, all_taken, &vanished, "the jobs to be taken");
-  g_ptr_array_set_size (vanished.harness->raw, 0);
-  harness_wait (vanished.harness, nothing_lasts, &vanished, "nothing to last");
-  g_assert_cmpuint (harness_assert_once (vanished.harness), ==, VANISHING);
+  harness_wait (fixture.harness, all_submitted, &fixture, "the jobs to be submitted");
+  g_ptr_array_set_size (fixture.harness->raw, 0);
+  harness_wait (fixture.harness, all_released, &fixture,
+                "the jobs to end and the connections to be closed");
+  g_assert_cmpuint (harness_assert_once (fixture.harness), ==, DISCONNECTS);
   g_free (request);
-  harness_free (vanished.harness);
+  harness_free (fixture.harness);
 }
 
 int
@@ -396,7 +395,7 @@
   g_test_add_func ("/answers/dropped-connection", test_dropped_connection);
   g_test_add_func ("/answers/hostile-bytes", test_hostile_bytes);
   g_test_add_func ("/answers/jobs-bound", test_jobs_bound);
-  g_test_add_func ("/answers/vanished-callers", test_vanished_callers);
+  g_test_add_func ("/answers/vanished-callers", test_disconnected_callers);
   g_test_add_func ("/answers/dead-backend-server", test_dead_backend_server);
   ADD_CASES ("/answers/retry", retry_cases, test_retry);
   return g_test_run ();
--- a/tests/test-keys.c
+++ b/tests/test-keys.c
@@ -1,4 +1,4 @@
-/* A request with its caller's own key runs at most once, whatever happens to the entry or
+/* A request with an idempotency key runs at most once, whatever happens to the entry or
  * the platform's table between two submissions. */
 #include "clock.h"
 #include "jobs.h"
@@ -7,13 +7,13 @@
 
 #define KEYED "\"key\":\"claim-7\",\"team\":\"food-bank\","
 
-/* Long enough for every limit of a call to have grown as far as it does. */
-#define SILENT_MS 8000
-#define AFTER_CALL_MS 50
-/* The aim for keyed requests once the table is back. */
-#define TAKEN_MS 2000
+/* Long enough for the timeouts of table calls to have grown to their maximum. */
+#define HANG_MS 8000
+#define CALL_TO_RECOVERY_MS 50
+/* Maximum answer time of keyed requests once the table is back. */
+#define ANSWERED_MAX_MS 2000
 /* A keyed request whose claim cannot be written is refused after 3 s. */
-#define REFUSED_MS 3500
+#define REFUSED_MAX_MS 3500
 
 typedef struct
 {
@@ -53,7 +53,7 @@
                        EVHTTP_REQ_POST, "/v1/jobs", scene->body);
 }
 
-/* Symptom: a claim resubmitted to another entry while the first runs is run twice. */
+/* A keyed job resubmitted to another entry while it runs must not run twice. */
 static void
 test_resubmitted_elsewhere (void)
 {
@@ -73,9 +73,8 @@
   scene_free (&scene, 1);
 }
 
-/* Symptom: after its entry was killed, a resubmitted claim runs a second time.
- * Sequence: submitted to one entry, started, the entry killed, resubmitted to another.
- * Cause: what the first entry knew is gone; only the row in the table is left. */
+/* A keyed job resubmitted after its entry was killed must not run a second time. The
+ * first entry's state is lost; only the row in the table is left. */
 static void
 test_first_entry_killed (void)
 {
@@ -95,9 +94,9 @@
   scene_free (&scene, 1);
 }
 
-/* Symptom: the claim's write took effect, its answer was lost, and the request is refused
- * or, resubmitted, run twice.
- * Cause: an unknown result taken for a failure; the row tells whose it is. */
+/* If the claim's write was applied but its answer lost, the request must not be refused,
+ * nor run twice when resubmitted: the result is unknown, not a failure, and the row shows
+ * which job has the key. */
 static void
 test_answer_lost (void)
 {
@@ -117,11 +116,11 @@
   scene_free (&scene, 1);
 }
 
-/* Symptom: with the store down a keyed request is held or run unprotected.
- * It must be refused as not run with a time to come back, while unkeyed work goes on; and
- * once the store is back, the same key must be free to run. */
+/* With the table down a keyed request must be refused as not run with a retry time,
+ * neither blocked nor run without its claim, while requests without a key run. Once the
+ * table is back, the same key must be free. */
 static void
-test_store_down (void)
+test_table_down (void)
 {
   Scene scene = scene_new (1);
   char *unkeyed = job_body (1, "10:plain", NULL);
@@ -147,12 +146,9 @@
   scene_free (&scene, 2);
 }
 
-/* Symptom: a claim refused as not run lands in the table late and blocks its key, or two
- * submissions run.
- * Sequence: the table takes every write but answers none; refused; the table recovers;
- * resubmitted to another entry.
- * Cause: the late row names a job that was given up; its holder says so and the key is
- * taken over. */
+/* The table applies a claim's write late, after the request was refused as not run. The
+ * row must not block the key, nor may two submissions run: on resubmission to another
+ * entry the job's holder confirms that it was abandoned, and the key is taken over. */
 static void
 test_late_claim_taken_over (void)
 {
@@ -176,10 +172,10 @@
   scene_free (&scene, 1);
 }
 
-/* Symptom: many entries' claims take up all the writes that the table has.
- * Cause: each writes as often as the table answers, a claim or two at a time. */
+/* Claims must be batched within table.writes_per_s: entries that write a claim or two as
+ * often as the table answers use up the table's write capacity. */
 static void
-test_paced (void)
+test_write_limit (void)
 {
   HarnessInit init
       = { .entries = 1, .backends = 1, .entry_settings = "table.writes_per_s = 2" };
@@ -212,7 +208,7 @@
   harness_free (harness);
 }
 
-/* Symptom: many callers race with one key and more than one runs. */
+/* Of many concurrent submissions with one key only one may run. */
 static void
 test_race (void)
 {
@@ -234,9 +230,9 @@
   scene_free (&scene, 1);
 }
 
-/* Claims that arrive while one write is under way share the next. */
+/* Claims that arrive while a write is pending share the next one. */
 static void
-test_grouped (void)
+test_batched (void)
 {
   HarnessInit init = { .entries = 1, .backends = 4, .slots = 32 };
   Harness *harness = harness_new (&init);
@@ -263,34 +259,34 @@
   harness_free (harness);
 }
 
-/* A call to the table that hangs since before its return must not keep keyed requests
- * waiting: one that came just before the return, and one that comes after it. */
+/* A table call that hung before the table recovered must not delay keyed requests,
+ * neither one sent just before the recovery nor one sent after it. */
 static void
-test_taken_after_silence (void)
+test_answered_after_hang (void)
 {
   Scene scene = scene_new (1);
   Exchange *during;
   Exchange *after;
   char *other = job_body (1, "200:crate", "\"key\":\"claim-8\",\"team\":\"food-bank\",");
-  gint64 returned_ms;
+  gint64 recovered_ms;
 
   harness_fault (scene.harness, scene.harness->platform, "hang");
-  harness_run_ms (scene.harness, SILENT_MS);
+  harness_run_ms (scene.harness, HANG_MS);
   during = submit (&scene, 0);
-  harness_run_ms (scene.harness, AFTER_CALL_MS);
+  harness_run_ms (scene.harness, CALL_TO_RECOVERY_MS);
   harness_fault (scene.harness, scene.harness->platform, "ok");
-  returned_ms = clock_now_ms ();
+  recovered_ms = clock_now_ms ();
   after = harness_call (scene.harness, harness_entry (scene.harness, 0)->http,
                         EVHTTP_REQ_POST, "/v1/jobs", other);
   harness_wait_exchange (scene.harness, during);
   g_test_message ("during: %d after %" G_GINT64_FORMAT " ms", during->status,
-                  clock_now_ms () - returned_ms);
+                  clock_now_ms () - recovered_ms);
   harness_wait_exchange (scene.harness, after);
   g_test_message ("after: %d after %" G_GINT64_FORMAT " ms", after->status,
-                  clock_now_ms () - returned_ms);
+                  clock_now_ms () - recovered_ms);
   g_assert_cmpint (during->status, ==, 200);
   g_assert_cmpint (after->status, ==, 200);
-  g_assert_cmpint (clock_now_ms () - returned_ms, <=, TAKEN_MS);
+  g_assert_cmpint (clock_now_ms () - recovered_ms, <=, ANSWERED_MAX_MS);
   exchange_free (during);
   exchange_free (after);
   g_free (other);
@@ -306,7 +302,7 @@
   Exchange *exchange;
 
   harness_fault (scene.harness, scene.harness->platform, "hang");
-  harness_run_ms (scene.harness, SILENT_MS);
+  harness_run_ms (scene.harness, HANG_MS);
   submitted_ms = clock_now_ms ();
   exchange = submit (&scene, 0);
   harness_wait_exchange (scene.harness, exchange);
@@ -314,7 +310,7 @@
                   clock_now_ms () - submitted_ms);
   g_assert_cmpint (exchange->status, ==, 503);
   g_assert_nonnull (strstr (exchange->body, "not run"));
-  g_assert_cmpint (clock_now_ms () - submitted_ms, <=, REFUSED_MS);
+  g_assert_cmpint (clock_now_ms () - submitted_ms, <=, REFUSED_MAX_MS);
   exchange_free (exchange);
   scene_free (&scene, 0);
 }
@@ -326,12 +322,12 @@
   g_test_add_func ("/keys/resubmitted-elsewhere", test_resubmitted_elsewhere);
   g_test_add_func ("/keys/first-entry-killed", test_first_entry_killed);
   g_test_add_func ("/keys/answer-lost", test_answer_lost);
-  g_test_add_func ("/keys/store-down", test_store_down);
+  g_test_add_func ("/keys/store-down", test_table_down);
   g_test_add_func ("/keys/late-claim-taken-over", test_late_claim_taken_over);
-  g_test_add_func ("/keys/taken-after-silence", test_taken_after_silence);
+  g_test_add_func ("/keys/taken-after-silence", test_answered_after_hang);
   g_test_add_func ("/keys/refused-in-time", test_refused_in_time);
   g_test_add_func ("/keys/race", test_race);
-  g_test_add_func ("/keys/paced", test_paced);
-  g_test_add_func ("/keys/grouped", test_grouped);
+  g_test_add_func ("/keys/paced", test_write_limit);
+  g_test_add_func ("/keys/grouped", test_batched);
   return g_test_run ();
 }
--- a/tests/test-once.c
+++ b/tests/test-once.c
@@ -1,5 +1,5 @@
 /* No task starts twice; a job is complete or failed, never partial; "not run" is true.
- * One table of faults, each struck while jobs of all entries run. */
+ * Each fault of the table is injected while jobs of all entries run. */
 #include "cases.h"
 #include "jobs.h"
 #include "relay.h"
@@ -26,13 +26,13 @@
   const char *name;
   guint backends;
   guint agentless;
-  void (*strike) (Scene *scene);
-  gboolean all_complete;  /* the fault must cost no job */
-  guint may_have_run_max; /* most jobs that it may cost */
+  void (*inject) (Scene *scene);
+  gboolean all_complete;  /* no job may fail */
+  guint may_have_run_max; /* jobs */
   guint broken_max;
 } FaultCase;
 
-/* Which entry is home: all processes rank alike, and so can the test. */
+/* Index of the home: the entry with the highest rendezvous score. */
 static guint
 home_among (guint entries)
 {
@@ -61,25 +61,23 @@
 }
 
 static void
-strike_nothing (Scene *scene)
+inject_nothing (Scene *scene)
 {
 }
 
-/* Symptom: after a home's death its tasks are lost or run again elsewhere.
- * Sequence: the home dies with some tasks placed and others queued.
- * Cause: only the slot owners know which of them started; a holder that does not ask and
- * fence them all guesses. */
+/* The home dies with some tasks placed and others queued; none may be lost or run twice.
+ * Only the slot owners know which started, so the holder must ask and fence all of them.
+ */
 static void
-strike_kill_home (Scene *scene)
+inject_kill_home (Scene *scene)
 {
   process_kill (scene->harness, scene->home);
 }
 
-/* Symptom: a task placed on a dead agent is run again on another one.
- * Sequence: the agent dies with tasks running on its backend server.
- * Cause: the death of a slot owner proves nothing about what it started. */
+/* An agent dies with tasks running on its backend server. They must not run again
+ * elsewhere: the death of a slot owner proves nothing about what it started. */
 static void
-strike_kill_agent (Scene *scene)
+inject_kill_agent (Scene *scene)
 {
   process_kill (scene->harness, harness_agent (scene->harness, 0));
 }
@@ -92,36 +90,35 @@
   process_signal (process, SIGCONT);
 }
 
-/* Symptom: a home that was stopped starts tasks which were granted elsewhere meanwhile.
- * Sequence: SIGSTOP past its lease, settlement and re-grant by the holders, SIGCONT.
- * Cause: it does not know that time has passed; only the owners' fences stop it. */
+/* A home stopped past its lease resumes and sends starts of tasks that the holders have
+ * reconciled and granted elsewhere. It cannot know that time has passed: only the slot
+ * owners' fences reject them. */
 static void
-strike_freeze_home (Scene *scene)
+inject_freeze_home (Scene *scene)
 {
   freeze (scene, scene->home, 4500);
 }
 
-/* Symptom: an agent that was stopped starts what it finds in its sockets on waking.
- * Sequence: SIGSTOP past the lease with starts under way to it, SIGCONT.
- * Cause: its links were closed by the other side and its tasks given up as lost. */
+/* An agent stopped past its lease resumes with starts in its socket buffers. It must not
+ * run them: the other side has closed its links and declared the tasks lost. */
 static void
-strike_freeze_agent (Scene *scene)
+inject_freeze_agent (Scene *scene)
 {
   freeze (scene, harness_agent (scene->harness, 0), 6500);
 }
 
-/* Symptom: a short stop costs jobs. A pause shorter than the lease must cost nothing. */
+/* A pause shorter than the lease must not fail a job. */
 static void
-strike_short_freeze (Scene *scene)
+inject_short_freeze (Scene *scene)
 {
   freeze (scene, harness_agent (scene->harness, 0), 800);
 }
 
-/* Symptom: a start or an outcome cut in half is lost, or repeated as a second start.
- * Sequence: the link is reset after some bytes of a frame, and opened anew.
- * Cause: neither end knows what the other has taken; it has to be asked. */
+/* The link is reset in the middle of a frame and opened anew. Neither end knows what the
+ * other has processed and must ask: no start or outcome may be lost, no task start twice.
+ */
 static void
-strike_cut (Scene *scene)
+inject_cuts (Scene *scene)
 {
   for (int i = 0; i < 5; i++)
     {
@@ -130,64 +127,61 @@
     }
 }
 
-/* Symptom: a frame delivered twice starts its tasks twice. */
+/* A frame delivered twice must not start its tasks twice. */
 static void
-strike_repeat (Scene *scene)
+inject_repeat (Scene *scene)
 {
   relay_set_mode (scene->harness->relay, RELAY_REPEAT, TRUE);
 }
 
-/* Symptom: tasks hang on a connection that stands for both ends and carries nothing.
- * Sequence: the relay stops forwarding and closes nothing; new connections work.
- * Cause: no FIN comes; only missing heartbeats tell. */
+/* A connection stays open at both ends but carries nothing; new connections work. No FIN
+ * comes, so only missing heartbeats reveal it; tasks must not hang. */
 static void
-strike_vanish (Scene *scene)
+inject_vanish (Scene *scene)
 {
   relay_set_mode (scene->harness->relay, RELAY_VANISH, FALSE);
 }
 
-/* Symptom: tasks handed over just before the loss of a link wait for ever.
- * Sequence: what the home sends is lost, while it still hears outcomes and so hands over
- * more; the agent misses its heartbeats and opens a new connection.
- * Cause: neither a start nor an outcome is under way any more; only a question shows that
- * the owner never got the task. */
+/* One-way loss: what the home sends is lost while it still receives outcomes and so sends
+ * more tasks, until the agent misses heartbeats and opens a new connection. Those tasks
+ * must not wait for ever: only a query shows that the slot owner never got them. */
 static void
-strike_deaf (Scene *scene)
+inject_one_way_loss (Scene *scene)
 {
   relay_set_mode (scene->harness->relay, RELAY_DEAF, FALSE);
 }
 
-/* Symptom: the store's outage stops tasks. */
+/* An outage of the platform's table must not stop tasks. */
 static void
-strike_store_hangs (Scene *scene)
+inject_table_hang (Scene *scene)
 {
   harness_fault (scene->harness, scene->harness->platform, "hang");
 }
 
 static void
-strike_store_and_home (Scene *scene)
+inject_table_hang_and_kill_home (Scene *scene)
 {
-  strike_store_hangs (scene);
-  strike_kill_home (scene);
+  inject_table_hang (scene);
+  inject_kill_home (scene);
 }
 
 static void
-strike_home_and_agent (Scene *scene)
+inject_kill_home_and_agent (Scene *scene)
 {
-  strike_kill_home (scene);
-  strike_kill_agent (scene);
+  inject_kill_home (scene);
+  inject_kill_agent (scene);
 }
 
 static void
-strike_freeze_both (Scene *scene)
+inject_freeze_both (Scene *scene)
 {
   process_signal (harness_agent (scene->harness, 0), SIGSTOP);
-  strike_freeze_home (scene);
+  inject_freeze_home (scene);
   process_signal (harness_agent (scene->harness, 0), SIGCONT);
 }
 
 static void
-strike_kill_holder (Scene *scene)
+inject_kill_holder (Scene *scene)
 {
   process_kill (scene->harness, scene->holder);
 }
@@ -195,24 +189,25 @@
 #define MANY 1000
 
 static const FaultCase fault_cases[] = {
-  { "none", BACKENDS, 0, strike_nothing, TRUE },
-  { "none-agentless", 0, BACKENDS, strike_nothing, TRUE },
-  { "kill-home", BACKENDS, 0, strike_kill_home, FALSE, 0, JOBS_EACH },
-  { "kill-home-agentless", 2, 2, strike_kill_home, FALSE, MANY, JOBS_EACH },
-  { "kill-holder", BACKENDS, 0, strike_kill_holder, FALSE, 0, JOBS_EACH },
-  { "kill-agent", BACKENDS, 0, strike_kill_agent, FALSE, MANY, 0 },
-  { "freeze-home", BACKENDS, 0, strike_freeze_home, FALSE, 0, 0 },
-  { "freeze-agent", BACKENDS, 0, strike_freeze_agent, FALSE, MANY, 0 },
-  { "short-freeze", BACKENDS, 0, strike_short_freeze, TRUE },
-  { "cut-mid-frame", BACKENDS, 0, strike_cut, TRUE },
-  { "repeated-frames", BACKENDS, 0, strike_repeat, TRUE },
-  { "vanished-peer", BACKENDS, 0, strike_vanish, TRUE },
-  { "home-not-heard", BACKENDS, 0, strike_deaf, TRUE },
-  { "store-hangs", BACKENDS, 0, strike_store_hangs, TRUE },
-  { "store-hangs-and-kill-home", BACKENDS, 0, strike_store_and_home, FALSE, 0,
+  { "none", BACKENDS, 0, inject_nothing, TRUE },
+  { "none-agentless", 0, BACKENDS, inject_nothing, TRUE },
+  { "kill-home", BACKENDS, 0, inject_kill_home, FALSE, 0, JOBS_EACH },
+  { "kill-home-agentless", 2, 2, inject_kill_home, FALSE, MANY, JOBS_EACH },
+  { "kill-holder", BACKENDS, 0, inject_kill_holder, FALSE, 0, JOBS_EACH },
+  { "kill-agent", BACKENDS, 0, inject_kill_agent, FALSE, MANY, 0 },
+  { "freeze-home", BACKENDS, 0, inject_freeze_home, FALSE, 0, 0 },
+  { "freeze-agent", BACKENDS, 0, inject_freeze_agent, FALSE, MANY, 0 },
+  { "short-freeze", BACKENDS, 0, inject_short_freeze, TRUE },
+  { "cut-mid-frame", BACKENDS, 0, inject_cuts, TRUE },
+  { "repeated-frames", BACKENDS, 0, inject_repeat, TRUE },
+  { "vanished-peer", BACKENDS, 0, inject_vanish, TRUE },
+  { "home-not-heard", BACKENDS, 0, inject_one_way_loss, TRUE },
+  { "store-hangs", BACKENDS, 0, inject_table_hang, TRUE },
+  { "store-hangs-and-kill-home", BACKENDS, 0, inject_table_hang_and_kill_home, FALSE, 0,
     JOBS_EACH },
-  { "kill-home-and-agent", BACKENDS, 0, strike_home_and_agent, FALSE, MANY, JOBS_EACH },
-  { "freeze-home-and-agent", BACKENDS, 0, strike_freeze_both, FALSE, MANY, 0 },
+  { "kill-home-and-agent", BACKENDS, 0, inject_kill_home_and_agent, FALSE, MANY,
+    JOBS_EACH },
+  { "freeze-home-and-agent", BACKENDS, 0, inject_freeze_both, FALSE, MANY, 0 },
 };
 
 static void
@@ -232,7 +227,7 @@
   scene.home = harness_entry (scene.harness, home);
   scene.holder = harness_entry (scene.harness, (home + 1) % ENTRIES);
   scene.jobs = jobs_new (scene.harness);
-  /* The home's own jobs come last, so that it is the others' tasks that run. */
+  /* The home's own jobs come last, so that tasks of the other entries are running. */
   for (guint i = 1; i <= ENTRIES; i++)
     {
       jobs_submit (scene.jobs, harness_entry (scene.harness, (home + i) % ENTRIES),
@@ -240,7 +235,7 @@
       if (i + 1 == ENTRIES)
         jobs_wait_starts (scene.harness, 10);
     }
-  c->strike (&scene);
+  c->inject (&scene);
   jobs_wait (scene.jobs);
   counts = jobs_check (scene.jobs);
   g_assert_cmpuint (
@@ -251,7 +246,7 @@
     g_assert_cmpuint (counts.complete, ==, sent);
   if (scene.holder->pid > 0)
     g_test_message (
-        "jobs settled %u, tasks granted again %u",
+        "jobs reconciled %u, tasks granted again %u",
         (guint)harness_counter (scene.harness, scene.holder->http, "jobs_settled"),
         (guint)harness_counter (scene.harness, scene.holder->http, "tasks_regranted"));
   jobs_free (scene.jobs);
@@ -263,7 +258,7 @@
 {
   Harness *harness;
   Process *home;
-  Process *owner; /* the agent whose task has ended */
+  Process *owner; /* the agent whose task was answered */
 } Loss;
 
 static gboolean
@@ -282,22 +277,20 @@
 }
 
 static gboolean
-owner_is_gone (gpointer ctx)
+owner_is_removed (gpointer ctx)
 {
   const Loss *loss = ctx;
   Exchange *rows = harness_get (loss->harness, loss->home->http, "/v1/rows/backends");
-  gboolean gone = strstr (rows->body, loss->owner->name) == NULL;
+  gboolean removed = strstr (rows->body, loss->owner->name) == NULL;
 
   exchange_free (rows);
-  return gone;
+  return removed;
 }
 
-/* Symptom: a task that was answered runs again on another backend server.
- * Sequence: one task of a job ends while another runs on; the agent of the first dies,
- * and the home strikes it off the roster; then the home dies. Cause: the home keeps
- * outcomes back until the job's other tasks have ended, so that the holder does not know
- * of the first; it asks the owners of the roster it has, none of which has heard of that
- * task, and takes this for a proof. */
+/* An answered task must not run again after its agent and then its home die. The home
+ * withholds outcomes until the job's other tasks end, and removes the dead agent from the
+ * roster: the holder then asks only slot owners that never had the task and would take
+ * this as proof that it did not run. */
 static void
 test_owner_then_home (void)
 {
@@ -314,7 +307,7 @@
   jobs_wait_starts (loss.harness, 2);
   harness_wait (loss.harness, one_has_answered, &loss, "one answer");
   process_kill (loss.harness, loss.owner);
-  harness_wait (loss.harness, owner_is_gone, &loss, "the owner to be gone");
+  harness_wait (loss.harness, owner_is_removed, &loss, "the owner to be removed");
   harness_run_ms (loss.harness, 100);
   process_kill (loss.harness, loss.home);
   harness_wait_exchange (loss.harness, exchange);
@@ -325,15 +318,13 @@
   harness_free (loss.harness);
 }
 
-/* Symptom: a task starts twice although its home's loss was settled.
- * Sequence: the home is stopped with tasks queued; its holder gives it up, asks all
- * owners of the home's roster, and grants what none of them has to another home;
- * meanwhile one more agent comes; the home wakes, links to its holder again, sends it a
- * roster with the new agent and, once that is acknowledged, starts its old tasks there.
- * Cause: the home did not see that it had been given up, since only its own clock stood
- *   still, and the new owner was never asked. */
+/* A task must not start twice when an agent joins while its home is stopped. The home
+ * is declared dead, its tasks are reconciled with the slot owners of its roster and
+ * granted elsewhere. On waking, unaware of this because only its own clock stood still,
+ * it links to the holder again, sends a roster with the new agent, which was never asked,
+ * and once that is acknowledged would start its old tasks there. */
 static void
-test_new_owner_after_settlement (void)
+test_new_owner_after_reconciliation (void)
 {
   HarnessInit init = { .entries = ENTRIES, .backends = 2, .slots = 1 };
   Harness *harness = harness_new (&init);
@@ -356,10 +347,9 @@
 
 #define MANY_ENTRIES 6
 
-/* Symptom: with more than four entries a lost home's tasks wait for good.
- * Sequence: agents link to two entries only, the home and the next in rank; the home dies
- *   with tasks running and queued; holders without a link to any agent settle.
- * Cause: what works while every entry is linked to every agent. */
+/* With more than four entries agents link to two of them only, the home and the next in
+ * rank. When the home dies with tasks running and queued, holders without a link to any
+ * agent must still be able to reconcile, or the tasks wait for ever. */
 static void
 test_many_entries (void)
 {
@@ -387,7 +377,8 @@
   g_test_init (&argc, &argv, NULL);
   ADD_CASES ("/once", fault_cases, test_fault);
   g_test_add_func ("/once/owner-then-home", test_owner_then_home);
-  g_test_add_func ("/once/new-owner-after-settlement", test_new_owner_after_settlement);
+  g_test_add_func ("/once/new-owner-after-settlement",
+                   test_new_owner_after_reconciliation);
   g_test_add_func ("/once/many-entries", test_many_entries);
   return g_test_run ();
 }
