--- a/src/claims.c
+++ b/src/claims.c
@@ -85,8 +85,7 @@
   TAILQ_REMOVE (&claim->claims->waiting, claim, link_entry);
 }
 
-/* A claim in a pending write stays in the list, which is matched to the results by order.
- */
+/* A claim in a pending write stays listed: results are matched to claims by order. */
 static void
 on_timeout (evutil_socket_t fd, short what, void *ctx)
 {
@@ -339,8 +338,7 @@
 static void
 on_released (TableStatus status, GPtrArray *writes, gpointer ctx)
 {
-  /* If the write failed, a resubmission asks the job's holder and takes the claim over.
-   */
+  /* If it failed, a resubmission asks the job's holder and takes the claim over. */
 }
 
 static void
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -124,8 +124,8 @@
 }
 
 const HolderOps entry_holder_ops
-    = { holder_home_of, holder_grant,   holder_cancel_at, holder_ack,
-        holder_reconcile,  holder_release, get_fleet };
+    = { holder_home_of,   holder_grant,   holder_cancel_at, holder_ack,
+        holder_reconcile, holder_release, get_fleet };
 
 /* Home to holder. */
 
--- a/src/holder.h
+++ b/src/holder.h
@@ -85,8 +85,7 @@
   void (*grant) (guint64 home, Gw__Grant *grant, gpointer ctx);
   void (*cancel) (guint64 home, Gw__Cancel *cancel, gpointer ctx);
   void (*ack) (guint64 home, Gw__Ack *ack, gboolean urgent, gpointer ctx);
-  /* Reconcile the open tasks of a lost home; holder_reconciled () follows for each part.
-   */
+  /* Reconcile the open tasks of a lost home; ends in holder_reconciled () per part. */
   void (*reconcile) (guint64 home, const char *group, gpointer ctx);
   /* A keyed job ended without having run: release its key claim. */
   void (*release) (const HeldJob *job, gpointer ctx);
--- a/tests/test-answers.c
+++ b/tests/test-answers.c
@@ -160,8 +160,7 @@
   harness_free (harness);
 }
 
-/* A backend server that never answers must not block its caller until the job's deadline.
- */
+/* A backend server that never answers must not block its caller until the deadline. */
 static void
 test_call_too_long (void)
 {
@@ -256,9 +255,7 @@
   { "marked-true", "true", 502, 3 },
 };
 
-/* A direct request is retried only if marked as idempotent, and a limited number of
- * times.
- */
+/* A direct request is retried only if marked as idempotent, and a few times at most. */
 static void
 test_retry (gconstpointer data)
 {
