--- a/src/leased_entry_config.c
+++ b/src/leased_entry_config.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "entry"
 /* Exchange of the configuration among entries: each frame carries the version that its
- * sender has; an entry that is behind pulls the text from one other (spread.h). */
+ * sender has; an entry that is behind pulls the text from one other (config_pull.h). */
 #include "clock.h"
 #include "counters.h"
 #include "events.h"
@@ -65,7 +65,7 @@
 leased_entry_config_down (LeasedEntry *entry, const MeshPeer *peer)
 {
   if (peer->config_asked_ms > 0 && peer->config_asked_ms == entry->config_pull.asked_ms)
-    spread_lost (&entry->config_pull);
+    config_pull_lost (&entry->config_pull);
 }
 
 static gboolean
@@ -84,28 +84,28 @@
               now_ms - entry->config_pull.behind_ms);
   peer->config_asked_ms = now_ms;
   peer->config_wanted = peer->config_version;
-  spread_asked (&entry->config_pull, now_ms);
+  config_pull_asked (&entry->config_pull, now_ms);
   link_touch (peer->link);
 }
 
 static void
 pull_from_best (LeasedEntry *entry, gint64 now_ms)
 {
-  GArray *candidates = g_array_new (FALSE, FALSE, sizeof (SpreadPeer));
+  GArray *candidates = g_array_new (FALSE, FALSE, sizeof (ConfigPullPeer));
   GPtrArray *peers = g_ptr_array_new ();
   int best;
 
   for (MeshPeer *peer = mesh_first (entry->mesh); peer != NULL; peer = mesh_next (peer))
     if (is_linked_entry (peer))
       {
-        SpreadPeer candidate
+        ConfigPullPeer candidate
             = { peer->name, peer->config_version, peer->config_asked_ms };
 
         g_array_append_val (candidates, candidate);
         g_ptr_array_add (peers, peer);
       }
-  best = spread_choose ((const SpreadPeer *)candidates->data, candidates->len,
-                        entry->hello.name, own_version (entry));
+  best = config_pull_choose ((const ConfigPullPeer *)candidates->data, candidates->len,
+                             entry->hello.name, own_version (entry));
   if (best >= 0)
     pull_from (entry, g_ptr_array_index (peers, best), now_ms);
   g_ptr_array_unref (peers);
@@ -115,18 +115,18 @@
 static void
 pull_if_due (LeasedEntry *entry, gint64 now_ms)
 {
-  SpreadView view = { .own_version = own_version (entry) };
+  ConfigPullView view = { .own_version = own_version (entry) };
 
   for (MeshPeer *peer = mesh_first (entry->mesh); peer != NULL; peer = mesh_next (peer))
     if (is_linked_entry (peer))
       {
-        view.heard_version = MAX (view.heard_version, peer->config_version);
+        view.newest_version = MAX (view.newest_version, peer->config_version);
         if (peer->config_asked_ms == entry->config_pull.asked_ms)
-          view.asked_heard_ms = link_heard_ms (peer->link);
+          view.asked_received_ms = link_heard_ms (peer->link);
       }
-  view.arriving
-      = view.heard_version > view.own_version && entry->ops->config_arriving (entry->ctx);
-  if (spread_due (&entry->config_pull, &view, now_ms))
+  view.arriving = view.newest_version > view.own_version
+                  && entry->ops->config_arriving (entry->ctx);
+  if (config_pull_due (&entry->config_pull, &view, now_ms))
     pull_from_best (entry, now_ms);
 }
 
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -3,11 +3,11 @@
  * and from agents, leased_entry_config.c the exchange of the configuration among entries,
  * leased_entry_zones.c the closed availability zones. */
 #include "closed_zones.h"
+#include "config_pull.h"
 #include "figures.h"
 #include "leased_entry.h"
 #include "listen.h"
 #include "mesh.h"
-#include "spread.h"
 
 struct LeasedEntry
 {
@@ -24,7 +24,7 @@
   Mesh *mesh;
   Dispatcher *dispatcher;
   Catalog *catalog;
-  Spread config_pull;
+  ConfigPull config_pull;
   ClosedZones *closed_zones;
   struct event *tick;
   struct event *pump;
--- a/tests/test-spread-rules.c
+++ b/tests/test-spread-rules.c
@@ -1,22 +1,21 @@
-/* When a newer configuration is asked for, and of whom. One sequence of moments a case.
- */
+/* When an entry pulls a newer configuration, and from which entry. */
 #include "cases.h"
-#include "spread.h"
+#include "config_pull.h"
 
-#define MOMENTS_MOST 12
+#define MAX_STEPS 12
 
 typedef struct
 {
   gint64 at_ms;
-  SpreadView view;
-  gboolean lost; /* who was asked went away just before */
+  ConfigPullView view;
+  gboolean lost; /* the entry that was asked is lost just before */
   gboolean due;  /* expected */
-} Moment;
+} Step;
 
 typedef struct
 {
   const char *name;
-  Moment moments[MOMENTS_MOST];
+  Step steps[MAX_STEPS];
 } Sequence;
 
 static const Sequence sequences[] = {
@@ -69,40 +68,41 @@
 test_sequence (gconstpointer data)
 {
   const Sequence *sequence = data;
-  Spread spread = { 0 };
+  ConfigPull pull = { 0 };
 
-  for (guint i = 0; i < MOMENTS_MOST && sequence->moments[i].at_ms > 0; i++)
+  for (guint i = 0; i < MAX_STEPS && sequence->steps[i].at_ms > 0; i++)
     {
-      const Moment *moment = &sequence->moments[i];
+      const Step *step = &sequence->steps[i];
       gboolean due;
 
-      if (moment->lost)
-        spread_lost (&spread);
-      due = spread_due (&spread, &moment->view, moment->at_ms);
-      if (due != moment->due)
-        g_error ("moment %u: due %d", i, due);
+      if (step->lost)
+        config_pull_lost (&pull);
+      due = config_pull_due (&pull, &step->view, step->at_ms);
+      if (due != step->due)
+        g_error ("step %u: due %d", i, due);
       if (due)
-        spread_asked (&spread, moment->at_ms);
+        config_pull_asked (&pull, step->at_ms);
     }
 }
 
 static void
 test_choice (void)
 {
-  SpreadPeer peers[] = { { "a", 4, 0 }, { "b", 7, 900 }, { "c", 7, 100 }, { "d", 6, 0 } };
+  ConfigPullPeer peers[]
+      = { { "a", 4, 0 }, { "b", 7, 900 }, { "c", 7, 100 }, { "d", 6, 0 } };
 
-  g_assert_cmpint (spread_choose (peers, 4, "own", 5), ==, 2);
+  g_assert_cmpint (config_pull_choose (peers, 4, "own", 5), ==, 2);
   peers[2].asked_ms = 950;
-  g_assert_cmpint (spread_choose (peers, 4, "own", 5), ==, 1);
-  g_assert_cmpint (spread_choose (peers, 4, "own", 7), ==, -1);
-  g_assert_cmpint (spread_choose (peers, 0, "own", 0), ==, -1);
+  g_assert_cmpint (config_pull_choose (peers, 4, "own", 5), ==, 1);
+  g_assert_cmpint (config_pull_choose (peers, 4, "own", 7), ==, -1);
+  g_assert_cmpint (config_pull_choose (peers, 0, "own", 0), ==, -1);
 }
 
-/* Twelve entries that are behind at once do not all take one peer's link. */
+/* Twelve entries that are behind at once spread their pulls over the peers. */
 static void
 test_choices_differ (void)
 {
-  const SpreadPeer peers[]
+  const ConfigPullPeer peers[]
       = { { "a", 7, 0 }, { "b", 7, 0 }, { "c", 7, 0 }, { "d", 7, 0 } };
   guint chosen[G_N_ELEMENTS (peers)] = { 0 };
 
@@ -110,7 +110,7 @@
     {
       char *name = g_strdup_printf ("entry-%u", i);
 
-      chosen[spread_choose (peers, G_N_ELEMENTS (peers), name, 5)]++;
+      chosen[config_pull_choose (peers, G_N_ELEMENTS (peers), name, 5)]++;
       g_free (name);
     }
   for (gsize i = 0; i < G_N_ELEMENTS (peers); i++)
--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -13,8 +13,8 @@
  * whole ("table_reads"), 40 were not ("table_errors"). */
 #include "cases.h"
 #include "clock.h"
+#include "config_pull.h"
 #include "platform_scene.h"
-#include "spread.h"
 
 /* 300 kB of configuration, 400 kB in the store's encoding. */
 #define ROUTES 1600
@@ -143,14 +143,14 @@
 static void
 freeze_asked (PlatformScene *scene)
 {
-  SpreadPeer peers[PLATFORM_MOST];
+  ConfigPullPeer peers[PLATFORM_MOST];
   guint n = scene->n_entries - 1;
 
   for (guint i = 0; i < n; i++)
-    peers[i] = (SpreadPeer){ scene->entries[i]->name, 1, 0 };
+    peers[i] = (ConfigPullPeer){ scene->entries[i]->name, 1, 0 };
   for (guint i = 0; i < FROZEN; i++)
     {
-      int asked = spread_choose (peers, n, scene->entries[n]->name, 0);
+      int asked = config_pull_choose (peers, n, scene->entries[n]->name, 0);
 
       peers[asked].asked_ms = 1;
       process_signal (scene->entries[asked], SIGSTOP);
