--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -264,7 +264,7 @@
   gint64 now = clock_now_ms ();
 
   if (agent->ticked_ms > 0)
-    figures_note_lag (agent->stats, now - agent->ticked_ms - RUNNER_TICK_MS);
+    process_stats_note_lag (agent->stats, now - agent->ticked_ms - RUNNER_TICK_MS);
   agent->ticked_ms = now;
   if (now - agent->mesh_ticked_ms >= MESH_TICK_MS)
     {
@@ -319,7 +319,7 @@
   agent->offer_timer = evtimer_new (base, leased_agent_expire_offers, agent);
   agent->offers = offers_new ();
   agent->closed_zones = closed_zones_new ();
-  agent->stats = figures_new (base);
+  agent->stats = process_stats_new (base);
   return agent;
 }
 
@@ -334,7 +334,7 @@
 {
   if (agent == NULL)
     return;
-  figures_free (agent->stats);
+  process_stats_free (agent->stats);
   mesh_free (agent->mesh);
   runner_free (agent->runner);
   event_free (agent->tick);
--- a/src/leased_agent_parts.h
+++ b/src/leased_agent_parts.h
@@ -2,7 +2,7 @@
 /* Shared by the agent's source files: leased_agent.c has its lifecycle and frames,
  * leased_agent_state.c sends the state of the backend server to the entries. */
 #include "closed_zones.h"
-#include "figures.h"
+#include "process_stats.h"
 #include "leased_agent.h"
 #include "mesh.h"
 #include "offers.h"
@@ -23,7 +23,7 @@
   Offers *offers;
   ClosedZones *closed_zones;
   gint64 zones_lookup_ms; /* last lookup on the platform */
-  Figures *stats;
+  ProcessStats *stats;
   gint64 mesh_ticked_ms;
   gint64 ticked_ms;
   gint64 draining_ms; /* start of draining; 0: not draining */
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -271,7 +271,7 @@
   gint64 now = clock_now_ms ();
 
   if (entry->ticked_ms > 0)
-    figures_note_lag (entry->stats, now - entry->ticked_ms - TICK_MS);
+    process_stats_note_lag (entry->stats, now - entry->ticked_ms - TICK_MS);
   entry->ticked_ms = now;
   if (now - entry->mesh_ticked_ms >= MESH_TICK_MS)
     {
@@ -329,7 +329,7 @@
   entry->dispatcher = dispatcher_new (&dispatcher, &dispatcher_ops, entry);
   entry->tick = event_new (base, -1, EV_PERSIST, on_tick, entry);
   entry->pump = event_new (base, -1, 0, on_pump, entry);
-  entry->stats = figures_new (base);
+  entry->stats = process_stats_new (base);
   return entry;
 }
 
@@ -338,7 +338,7 @@
 {
   if (entry == NULL)
     return;
-  figures_free (entry->stats);
+  process_stats_free (entry->stats);
   listen_free (entry->frames);
   dispatcher_free (entry->dispatcher);
   mesh_free (entry->mesh);
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -4,7 +4,7 @@
  * leased_entry_zones.c the closed availability zones. */
 #include "closed_zones.h"
 #include "config_pull.h"
-#include "figures.h"
+#include "process_stats.h"
 #include "leased_entry.h"
 #include "listen.h"
 #include "mesh.h"
@@ -28,7 +28,7 @@
   ClosedZones *closed_zones;
   struct event *tick;
   struct event *pump;
-  Figures *stats;
+  ProcessStats *stats;
   gint64 mesh_ticked_ms;
   gint64 ticked_ms;
   gint64 draining_ms; /* start of draining; 0: not draining */
--- a/src/figures.c
+++ b/src/process_stats.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "figures"
-#include "figures.h"
+#include "process_stats.h"
 #include "clock.h"
 #include "counters.h"
 #include "events.h"
@@ -10,12 +10,12 @@
 
 #define INTERVAL_MS 2000
 
-struct Figures
+struct ProcessStats
 {
   struct event *timer;
-  guint64 before[COUNTER_LAST];
-  gint64 processor_us; /* used until the last line */
-  gint64 lag_ms;       /* most since the last line */
+  guint64 last[COUNTER_LAST];
+  gint64 cpu_us; /* at the last line */
+  gint64 lag_ms;       /* maximum since the last line */
 };
 
 static gint64
@@ -25,7 +25,7 @@
 }
 
 static gint64
-processor_us (void)
+process_cpu_us (void)
 {
   struct rusage usage;
 
@@ -34,18 +34,18 @@
 }
 
 static guint64
-since_last (const Figures *figures, Counter counter)
+since_last (const ProcessStats *stats, Counter counter)
 {
-  return counter_values[counter] - figures->before[counter];
+  return counter_values[counter] - stats->last[counter];
 }
 
 static void
 on_timer (evutil_socket_t fd, short what, void *ctx)
 {
-  Figures *figures = ctx;
-  gint64 used_us = processor_us ();
+  ProcessStats *stats = ctx;
+  gint64 cpu_us = process_cpu_us ();
 
-#define SINCE(counter) since_last (figures, COUNTER_##counter)
+#define SINCE(counter) since_last (stats, COUNTER_##counter)
   event_note ("figures", "-",
               "frames_sent=%" G_GUINT64_FORMAT " bytes_sent=%" G_GUINT64_FORMAT
               " frames_received=%" G_GUINT64_FORMAT " bytes_received=%" G_GUINT64_FORMAT
@@ -57,37 +57,37 @@
               SINCE (FRAMES_SENT), SINCE (BYTES_SENT), SINCE (FRAMES_RECEIVED),
               SINCE (BYTES_RECEIVED), SINCE (WISHES_SENT), SINCE (RUN_ORDERS_SENT),
               SINCE (STATES_SENT), SINCE (RUN_REPORTS_SENT), SINCE (LINKS_OPENED),
-              SINCE (LINKS_SILENT), counter_values[COUNTER_LINK_BACKLOG], figures->lag_ms,
-              used_us - figures->processor_us);
+              SINCE (LINKS_SILENT), counter_values[COUNTER_LINK_BACKLOG], stats->lag_ms,
+              cpu_us - stats->cpu_us);
 #undef SINCE
-  memcpy (figures->before, counter_values, sizeof figures->before);
-  figures->processor_us = used_us;
-  figures->lag_ms = 0;
+  memcpy (stats->last, counter_values, sizeof stats->last);
+  stats->cpu_us = cpu_us;
+  stats->lag_ms = 0;
 }
 
-Figures *
-figures_new (struct event_base *base)
+ProcessStats *
+process_stats_new (struct event_base *base)
 {
-  Figures *figures = g_new0 (Figures, 1);
+  ProcessStats *stats = g_new0 (ProcessStats, 1);
   struct timeval interval = timeval_from_ms (INTERVAL_MS);
 
-  figures->timer = event_new (base, -1, EV_PERSIST, on_timer, figures);
-  event_add (figures->timer, &interval);
-  return figures;
+  stats->timer = event_new (base, -1, EV_PERSIST, on_timer, stats);
+  event_add (stats->timer, &interval);
+  return stats;
 }
 
 void
-figures_free (Figures *figures)
+process_stats_free (ProcessStats *stats)
 {
-  if (figures == NULL)
+  if (stats == NULL)
     return;
-  event_free (figures->timer);
-  g_free (figures);
+  event_free (stats->timer);
+  g_free (stats);
 }
 
 void
-figures_note_lag (Figures *figures, gint64 lag_ms)
+process_stats_note_lag (ProcessStats *stats, gint64 lag_ms)
 {
   histogram_observe (HISTOGRAM_LOOP_LAG, lag_ms);
-  figures->lag_ms = MAX (figures->lag_ms, lag_ms);
+  stats->lag_ms = MAX (stats->lag_ms, lag_ms);
 }
