--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -49,7 +49,7 @@
 mutant no-heartbeat-timeout src/link.c \
   'if (now - link->heard_ms > link->config->timeout_ms)
     {
-      link_end (link, LINK_SILENT);
+      link_end (link, LINK_TIMED_OUT);
       return;
     }
   if (now - link->sent_ms' 'if (now - link->sent_ms' test-once /once/vanished-peer
--- a/src/counters.h
+++ b/src/counters.h
@@ -102,9 +102,9 @@
   counter_values[counter] += n;
 }
 
-/** counter_raise - for a counter of the most seen so far. */
+/** counter_set_max - for a counter of the most seen so far. */
 static inline void
-counter_raise (Counter counter, guint64 value)
+counter_set_max (Counter counter, guint64 value)
 {
   if (value > counter_values[counter])
     counter_values[counter] = value;
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -120,7 +120,7 @@
 {
   LeasedAgent *agent = ctx;
 
-  memset (&peer->closures, 0, sizeof peer->closures);
+  memset (&peer->closed_zones_sent, 0, sizeof peer->closed_zones_sent);
   g_clear_pointer (&peer->data, g_free);
   runner_each_run (agent->runner, peer->incarnation, add_to_inventory, peer);
   link_send_inventory (peer->link);
@@ -151,7 +151,7 @@
 zones_changed (LeasedAgent *agent)
 {
   apply_zones (agent);
-  mesh_tell_all (agent->mesh);
+  mesh_send_all (agent->mesh);
 }
 
 static void
@@ -303,7 +303,7 @@
                     .timeout_ms = settings->timeout_ms,
                     .lease_ms = settings->entry_lease_ms,
                     .forget_ms = 4 * settings->entry_lease_ms,
-                    .most_entries = MAX_ENTRIES };
+                    .max_entries = MAX_ENTRIES };
 
   agent->base = base;
   agent->ops = ops;
--- a/src/leased_agent_parts.h
+++ b/src/leased_agent_parts.h
@@ -2,10 +2,10 @@
 /* Shared by the agent's source files: leased_agent.c has its lifecycle and frames,
  * leased_agent_state.c sends the state of the backend server to the entries. */
 #include "closed_zones.h"
-#include "process_stats.h"
 #include "leased_agent.h"
 #include "mesh.h"
 #include "offers.h"
+#include "process_stats.h"
 
 struct LeasedAgent
 {
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -121,7 +121,7 @@
   SentState *sent = peer->data;
 
   if (sent != NULL)
-    throttle_on_delay (&sent->throttle, peer->told_late_ms, now_ms);
+    throttle_on_delay (&sent->throttle, peer->send_delay_ms, now_ms);
 }
 
 void
@@ -207,6 +207,7 @@
 {
   LeasedAgent *agent = ctx;
 
-  closed_zones_to_frame (agent->closed_zones, &peer->closures, 0, frame, clock_now_ms ());
+  closed_zones_to_frame (agent->closed_zones, &peer->closed_zones_sent, 0, frame,
+                         clock_now_ms ());
   put_state (agent, peer, frame);
 }
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -178,7 +178,7 @@
 {
   if (frame->time != NULL)
     dispatcher_server_clock (peer->data, frame->time->now_ms, clock_now_ms ());
-  dispatcher_server_delay (peer->data, peer->told_late_ms, clock_now_ms ());
+  dispatcher_server_delay (peer->data, peer->send_delay_ms, clock_now_ms ());
   if (frame->server_state != NULL)
     take_server_state (peer, frame->server_state);
   if (frame->n_run_reports > 0 || frame->inventory)
@@ -202,7 +202,7 @@
 {
   LeasedEntry *entry = ctx;
 
-  memset (&peer->closures, 0, sizeof peer->closures);
+  memset (&peer->closed_zones_sent, 0, sizeof peer->closed_zones_sent);
   if (!peer->is_entry)
     peer->data
         = dispatcher_server_up (entry->dispatcher, peer->incarnation, peer->name, peer);
@@ -226,7 +226,7 @@
   leased_entry_config_prepare (entry, peer, frame);
   leased_entry_zones_prepare (entry, peer, frame);
   if (!peer->is_entry && peer->data != NULL)
-    dispatcher_server_lease_extended (peer->data, peer->granted_until);
+    dispatcher_server_lease_extended (peer->data, peer->lease_until);
 }
 
 static void
--- a/src/leased_entry_config.c
+++ b/src/leased_entry_config.c
@@ -122,7 +122,7 @@
       {
         view.newest_version = MAX (view.newest_version, peer->config_version);
         if (peer->config_asked_ms == entry->config_pull.asked_ms)
-          view.asked_received_ms = link_heard_ms (peer->link);
+          view.asked_received_ms = link_received_ms (peer->link);
       }
   view.arriving = view.newest_version > view.own_version
                   && entry->ops->config_arriving (entry->ctx);
--- a/src/leased_entry_parts.h
+++ b/src/leased_entry_parts.h
@@ -4,10 +4,10 @@
  * leased_entry_zones.c the closed availability zones. */
 #include "closed_zones.h"
 #include "config_pull.h"
-#include "process_stats.h"
 #include "leased_entry.h"
 #include "listen.h"
 #include "mesh.h"
+#include "process_stats.h"
 
 struct LeasedEntry
 {
--- a/src/leased_entry_zones.c
+++ b/src/leased_entry_zones.c
@@ -11,7 +11,7 @@
 zones_changed (LeasedEntry *entry)
 {
   dispatcher_zones_changed (entry->dispatcher);
-  mesh_tell_all (entry->mesh);
+  mesh_send_all (entry->mesh);
 }
 
 void
@@ -24,7 +24,7 @@
 void
 leased_entry_zones_prepare (LeasedEntry *entry, MeshPeer *peer, Gw__Frame *frame)
 {
-  closed_zones_to_frame (entry->closed_zones, &peer->closures,
+  closed_zones_to_frame (entry->closed_zones, &peer->closed_zones_sent,
                          peer->is_entry ? 0 : CONFIRM_MS, frame, clock_now_ms ());
 }
 
--- a/src/link.c
+++ b/src/link.c
@@ -37,9 +37,9 @@
 {
   if (link->closed)
     return;
-  if (end == LINK_SILENT)
+  if (end == LINK_TIMED_OUT)
     counter_add (COUNTER_LINKS_SILENT, 1);
-  if (end == LINK_BROKEN)
+  if (end == LINK_PROTOCOL_ERROR)
     counter_add (COUNTER_LINKS_BROKEN, 1);
   link_ref (link);
   link_release (link);
@@ -64,7 +64,7 @@
 
   if (now - link->heard_ms > link->timeout_ms)
     {
-      link_end (link, LINK_SILENT);
+      link_end (link, LINK_TIMED_OUT);
       return;
     }
   if (now - link->sent_ms < link->heartbeat_ms / 2)
@@ -88,7 +88,7 @@
     {
       log_warn ("frame %" G_GUINT64_FORMAT " after %" G_GUINT64_FORMAT, frame->sequence,
                 link->received_sequence);
-      link_end (link, LINK_BROKEN);
+      link_end (link, LINK_PROTOCOL_ERROR);
       return FALSE;
     }
   link->received_sequence++;
@@ -105,7 +105,7 @@
     return TRUE;
   if (frame->hello == NULL)
     {
-      link_end (link, LINK_BROKEN);
+      link_end (link, LINK_PROTOCOL_ERROR);
       return FALSE;
     }
   size = gw__hello__get_packed_size (frame->hello);
@@ -124,7 +124,7 @@
 
   if (frame == NULL)
     {
-      link_end (link, LINK_BROKEN);
+      link_end (link, LINK_PROTOCOL_ERROR);
       return;
     }
   counter_add (COUNTER_FRAMES_RECEIVED, 1);
@@ -149,7 +149,7 @@
   size = ntohl (header);
   if (size > FRAME_MAX)
     {
-      link_end (link, LINK_BROKEN);
+      link_end (link, LINK_PROTOCOL_ERROR);
       return FALSE;
     }
   if (evbuffer_get_length (input) < LINK_HEADER_SIZE + size)
@@ -173,7 +173,7 @@
    * that others were told had not run. */
   if (now - link->heard_ms > link->timeout_ms)
     {
-      link_end (link, LINK_SILENT);
+      link_end (link, LINK_TIMED_OUT);
       return;
     }
   link->heard_ms = now;
@@ -335,13 +335,13 @@
 }
 
 gint64
-link_heard_ms (const Link *link)
+link_received_ms (const Link *link)
 {
   return link->heard_ms;
 }
 
 void
-link_set_pace (Link *link, guint heartbeat_ms, guint timeout_ms)
+link_set_heartbeat (Link *link, guint heartbeat_ms, guint timeout_ms)
 {
   struct timeval interval = timeval_from_ms (heartbeat_ms);
 
--- a/src/link.h
+++ b/src/link.h
@@ -15,8 +15,8 @@
   LINK_REFUSED,
   LINK_UNREACHABLE,
   LINK_CLOSED,
-  LINK_SILENT,
-  LINK_BROKEN,
+  LINK_TIMED_OUT,
+  LINK_PROTOCOL_ERROR,
 } LinkEnd;
 
 typedef struct
@@ -85,12 +85,12 @@
 const Gw__Hello *link_peer (const Link *link);
 gboolean link_is_up (const Link *link);
 
-/** link_heard_ms - when the last frame arrived, on the lease clock. */
-gint64 link_heard_ms (const Link *link);
+/** link_received_ms - when the last frame arrived, on the lease clock. */
+gint64 link_received_ms (const Link *link);
 
-/** link_set_pace - heartbeats of this link other than its configuration says, at both
- * ends. */
-void link_set_pace (Link *link, guint heartbeat_ms, guint timeout_ms);
+/** link_set_heartbeat - heartbeats of this link other than its configuration says, at
+ * both ends. */
+void link_set_heartbeat (Link *link, guint heartbeat_ms, guint timeout_ms);
 
 /**
  * link_append - put a message into the frame of this tick.
--- a/src/link_send.c
+++ b/src/link_send.c
@@ -81,7 +81,7 @@
   gw__frame__pack (frame, space.iov_base);
   space.iov_len = size;
   evbuffer_commit_space (output, &space, 1);
-  counter_raise (COUNTER_LINK_BACKLOG, evbuffer_get_length (output));
+  counter_set_max (COUNTER_LINK_BACKLOG, evbuffer_get_length (output));
 }
 
 static void
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -6,12 +6,12 @@
 #include <string.h>
 
 #define ISOLATED_MS 700
-/* Well within the time after which an address that nobody names is forgotten. */
-#define LIST_AGAIN_MS 8000
-/* A link that is not needed ends after this, once nothing runs for that entry. */
+/* Well below ADDRESS_FORGET_MS, after which an address that nobody names is dropped. */
+#define ANNOUNCE_ALL_MS 8000
+/* A surplus link is closed after this, once nothing runs for that entry. */
 #define RELEASE_MS 500
 
-/* NULL before the peer has said who it is, and for a link that is not the one kept. */
+/* Return: NULL before the peer's Hello, and for a duplicate link. */
 static MeshPeer *
 peer_of_link (const Link *link)
 {
@@ -19,7 +19,7 @@
 }
 
 void
-mesh_tell_all (Mesh *mesh)
+mesh_send_all (Mesh *mesh)
 {
   MeshPeer *peer;
 
@@ -52,16 +52,16 @@
 }
 
 static void
-send_entry (const MeshPeer *told, Link *link)
+send_entry (const MeshPeer *peer, Link *link)
 {
   Gw__Entry *entry = g_new (Gw__Entry, 1);
 
   gw__entry__init (entry);
-  entry->name = g_strdup (told->name);
-  entry->incarnation = told->incarnation;
+  entry->name = g_strdup (peer->name);
+  entry->incarnation = peer->incarnation;
   entry->zone = g_strdup ("");
   entry->http_address = g_strdup ("");
-  entry->frame_address = g_strdup (told->frame_address);
+  entry->frame_address = g_strdup (peer->frame_address);
   link_append (link, LINK_ENTRIES, &entry->base);
 }
 
@@ -72,7 +72,7 @@
 }
 
 static gboolean
-tells_entries (const Mesh *mesh)
+is_entry_process (const Mesh *mesh)
 {
   return mesh->init.hello->role == GW__HELLO__ROLE__ENTRY;
 }
@@ -82,7 +82,7 @@
 {
   MeshPeer *peer;
 
-  if (!tells_entries (mesh))
+  if (!is_entry_process (mesh))
     return;
   TAILQ_FOREACH (peer, &mesh->peers, link_entry)
     if (is_linked_entry (peer))
@@ -100,22 +100,22 @@
       send_entry (entry, peer->link);
 }
 
-/* Peers are told of an entry when it is linked, and of all now and then, since they
- * forget whom nobody names. The whole list at each change, to all, filled narrow links
- * whenever many entries came up together. */
+/* Sends peers each entry when it is linked, and all entries every ANNOUNCE_ALL_MS, since
+ * peers drop addresses that nobody names. Sending the whole list at each change congested
+ * narrow links when many entries started together. */
 static void
-tell_entries (Mesh *mesh, gint64 now_ms)
+announce_entries (Mesh *mesh, gint64 now_ms)
 {
   MeshPeer *peer;
 
-  if (!tells_entries (mesh))
+  if (!is_entry_process (mesh))
     return;
   TAILQ_FOREACH (peer, &mesh->peers, link_entry)
     if (is_linked_entry (peer) && !peer->announced)
       announce (mesh, peer);
-  if (now_ms - mesh->listed_ms < LIST_AGAIN_MS)
+  if (now_ms - mesh->announced_ms < ANNOUNCE_ALL_MS)
     return;
-  mesh->listed_ms = now_ms;
+  mesh->announced_ms = now_ms;
   TAILQ_FOREACH (peer, &mesh->peers, link_entry)
     if (peer->link != NULL)
       send_entries (mesh, peer->link);
@@ -135,16 +135,15 @@
   return peer;
 }
 
-/* A machine that answers under the old name with a new incarnation proves the old process
- * gone. */
+/* A new incarnation under the same name proves that the old process is dead. */
 static void
-bury_earlier_lives (Mesh *mesh, const MeshPeer *living, gint64 now_ms)
+mark_earlier_incarnations_dead (Mesh *mesh, const MeshPeer *current, gint64 now_ms)
 {
   MeshPeer *peer;
 
   TAILQ_FOREACH (peer, &mesh->peers, link_entry)
     {
-      if (peer == living || strcmp (peer->name, living->name) != 0)
+      if (peer == current || strcmp (peer->name, current->name) != 0)
         continue;
       if (peer->dead_ms == 0)
         peer->dead_ms = now_ms;
@@ -156,8 +155,8 @@
     }
 }
 
-/* Two processes that dial each other at once keep the link dialed by the one whose name
- * comes first: both come to the same choice. */
+/* When two processes dial each other at once, both keep the link dialed by the one whose
+ * name sorts first. */
 static gboolean
 is_preferred (const Mesh *mesh, const MeshPeer *peer, gboolean dialed_here)
 {
@@ -176,7 +175,7 @@
   gint64 now = clock_now_ms ();
 
   link_ref (link);
-  g_ptr_array_remove_fast (mesh->strangers, link);
+  g_ptr_array_remove_fast (mesh->unidentified, link);
   if (address != NULL)
     {
       mesh_address_answered (address, now);
@@ -200,15 +199,15 @@
   link_set_data (link, peer);
   peer->announced = FALSE;
   peer->surplus_ms = 0;
-  if (peer->is_entry && tells_entries (mesh) && mesh->init.entry_heartbeat_ms > 0)
-    link_set_pace (link, mesh->init.entry_heartbeat_ms, mesh->init.entry_timeout_ms);
-  peer->heard = (FrameDelay){ 0 };
-  peer->told_late_ms = 0;
+  if (peer->is_entry && is_entry_process (mesh) && mesh->init.entry_heartbeat_ms > 0)
+    link_set_heartbeat (link, mesh->init.entry_heartbeat_ms, mesh->init.entry_timeout_ms);
+  peer->receive_delay = (FrameDelay){ 0 };
+  peer->send_delay_ms = 0;
   if (peer->is_entry)
     mesh->linked_ms = now;
   event_note ("peer-linked", "-", "peer=%s incarnation=%" G_GINT64_MODIFIER "x entry=%d",
               peer->name, peer->incarnation, peer->is_entry);
-  bury_earlier_lives (mesh, peer, now);
+  mark_earlier_incarnations_dead (mesh, peer, now);
   send_entries (mesh, link);
   mesh->ops->up (peer, mesh->ctx);
 }
@@ -224,8 +223,8 @@
   if (frame->time != NULL)
     {
       peer_clock_observe (&peer->clock, frame->time->now_ms, clock_now_ms ());
-      frame_delay_observe (&peer->heard, frame->time->now_ms, clock_now_ms ());
-      peer->told_late_ms = frame->time->late_ms;
+      frame_delay_observe (&peer->receive_delay, frame->time->now_ms, clock_now_ms ());
+      peer->send_delay_ms = frame->time->late_ms;
     }
   peer->leaving = frame->leaving;
   peer->config_version = frame->config_version;
@@ -247,11 +246,11 @@
       address->dialing = NULL;
       mesh_address_failed (mesh, address->text, clock_now_ms ());
       mesh_dial_again (mesh);
-      for (MeshPeer *gone = TAILQ_FIRST (&mesh->peers);
-           gone != NULL && end == LINK_REFUSED; gone = TAILQ_NEXT (gone, link_entry))
-        if (gone->link == NULL && gone->dead_ms == 0
-            && strcmp (gone->frame_address, address->text) == 0)
-          gone->dead_ms = clock_now_ms ();
+      for (MeshPeer *dead = TAILQ_FIRST (&mesh->peers);
+           dead != NULL && end == LINK_REFUSED; dead = TAILQ_NEXT (dead, link_entry))
+        if (dead->link == NULL && dead->dead_ms == 0
+            && strcmp (dead->frame_address, address->text) == 0)
+          dead->dead_ms = clock_now_ms ();
     }
   if (peer != NULL)
     {
@@ -264,7 +263,7 @@
       mesh_dial_soon (mesh);
       mesh->ops->down (peer, mesh->ctx);
     }
-  g_ptr_array_remove_fast (mesh->strangers, link);
+  g_ptr_array_remove_fast (mesh->unidentified, link);
 }
 
 static void
@@ -279,12 +278,12 @@
   frame->time = &mesh->time;
   if (peer == NULL)
     return;
-  mesh->time.late_ms = peer->heard.delay_ms;
+  mesh->time.late_ms = peer->receive_delay.delay_ms;
   if (peer_clock_known (&peer->clock))
     {
       mesh->time.granted_until_ms
           = peer_clock_least (&peer->clock, now, 0) + mesh->init.lease_ms;
-      peer->granted_until = MAX (peer->granted_until, mesh->time.granted_until_ms);
+      peer->lease_until = MAX (peer->lease_until, mesh->time.granted_until_ms);
     }
   mesh->ops->prepare (peer, frame, mesh->ctx);
 }
@@ -306,7 +305,7 @@
   mesh->links.heartbeat_ms = init->heartbeat_ms;
   mesh->links.timeout_ms = init->timeout_ms;
   mesh->redial = evtimer_new (init->base, mesh_on_redial, mesh);
-  mesh->strangers = g_ptr_array_new_with_free_func ((GDestroyNotify)link_unref);
+  mesh->unidentified = g_ptr_array_new_with_free_func ((GDestroyNotify)link_unref);
   TAILQ_INIT (&mesh->peers);
   TAILQ_INIT (&mesh->addresses);
   return mesh;
@@ -334,9 +333,9 @@
   if (mesh == NULL)
     return;
   event_free (mesh->redial);
-  for (guint i = 0; i < mesh->strangers->len; i++)
-    link_close (g_ptr_array_index (mesh->strangers, i));
-  g_ptr_array_unref (mesh->strangers);
+  for (guint i = 0; i < mesh->unidentified->len; i++)
+    link_close (g_ptr_array_index (mesh->unidentified, i));
+  g_ptr_array_unref (mesh->unidentified);
   while ((peer = TAILQ_FIRST (&mesh->peers)) != NULL)
     peer_free (peer);
   while ((address = TAILQ_FIRST (&mesh->addresses)) != NULL)
@@ -347,7 +346,7 @@
 void
 mesh_accept (Mesh *mesh, evutil_socket_t fd)
 {
-  g_ptr_array_add (mesh->strangers, link_accept (&mesh->links, fd));
+  g_ptr_array_add (mesh->unidentified, link_accept (&mesh->links, fd));
 }
 
 static void
@@ -380,7 +379,7 @@
 {
   MeshPeer *peer;
 
-  if (mesh->init.most_entries == 0)
+  if (mesh->init.max_entries == 0)
     return;
   mesh_note_surplus (mesh, now_ms);
   TAILQ_FOREACH (peer, &mesh->peers, link_entry)
@@ -405,6 +404,6 @@
         peer_free (peer);
     }
   release_surplus (mesh, now_ms);
-  tell_entries (mesh, now_ms);
+  announce_entries (mesh, now_ms);
   check_isolation (mesh, now_ms);
 }
--- a/src/mesh_dial.c
+++ b/src/mesh_dial.c
@@ -4,26 +4,26 @@
 
 #include <string.h>
 
-/* Dialling again costs a packet; a machine that is back is found this soon. */
-#define DIAL_FIRST_MS 100
-#define DIAL_MOST_MS 250
-/* An address that was linked, or learned, less than this ago is dialled as often as this:
- * its process is being restarted, and until it is linked its callers wait. The price is
- * 20 packets a second and address meanwhile. */
+/* Backoff between attempts. An attempt costs one packet, so the maximum can be short: a
+ * machine that is back is found within it. */
+#define DIAL_MIN_MS 100
+#define DIAL_MAX_MS 250
+/* An address that was linked or learned less than EAGER_FOR_MS ago is dialled this often:
+ * its process is probably restarting, and callers wait until it is linked. This costs 20
+ * packets a second and address. */
 #define DIAL_EAGER_MS 50
 #define EAGER_FOR_MS 3000
-/* The first packet to a machine that is down is lost, and TCP repeats it only after a
- * second: a new attempt finds the machine sooner. Two ways through the network take a few
- * milliseconds within a region; the longer time is for links that have grown slow. */
+/* TCP repeats a lost SYN only after a second, so a new attempt finds a machine that comes
+ * up sooner. A round trip within a region takes a few milliseconds; the longer timeout is
+ * for congested links. */
 #define CONNECT_EAGER_MS 100
 #define CONNECT_TIMEOUT_MS 300
-/* An address learned from others that has not answered, and that nobody has named, for
- * this long is dropped. */
+/* A learned address that has neither answered nor been named for this long is dropped. */
 #define ADDRESS_FORGET_MS 20000
-/* Who has just answered and does not any more for this long is replaced by the next one:
- * longer than a process takes to be restarted would leave its place empty, much shorter
- * would have each restart of an entry move its agents' links. */
-#define HOPE_MS 1000
+/* An entry that answered until recently and has failed for this long is replaced by the
+ * next one. Longer than a restart would leave the place empty; much shorter would move
+ * agents' links at each restart of an entry. */
+#define REPLACE_AFTER_MS 1000
 
 static void
 dial_after (Mesh *mesh, guint delay_ms)
@@ -99,34 +99,34 @@
   if (address->dialing != NULL || now_ms - address->dialed_ms < wait_ms)
     return;
   address->dialed_ms = now_ms;
-  address->wait_ms = MIN (address->wait_ms * 2, DIAL_MOST_MS);
+  address->wait_ms = MIN (address->wait_ms * 2, DIAL_MAX_MS);
   mesh->links.connect_timeout_ms = eager ? CONNECT_EAGER_MS : CONNECT_TIMEOUT_MS;
   address->dialing = link_dial (&mesh->links, address->text);
 }
 
 static gboolean
-is_hopeful (const Address *address, gint64 now_ms)
+is_expected_up (const Address *address, gint64 now_ms)
 {
   if (address->failing_ms == 0)
     return TRUE;
-  return address->failing_ms - address->answered_ms < HOPE_MS
-         && now_ms - address->failing_ms < HOPE_MS;
+  return address->failing_ms - address->answered_ms < REPLACE_AFTER_MS
+         && now_ms - address->failing_ms < REPLACE_AFTER_MS;
 }
 
-/* With a limit, the best that answer are linked; better ones that do not are tried
- * again all the same, so that they get their place back. */
+/* With max_entries, links to the highest-ranked entries that answer. Higher-ranked ones
+ * that do not answer are still dialled, so that they get their place back. */
 void
 mesh_dial_all (Mesh *mesh, gint64 now_ms)
 {
   Address *address;
-  guint hopeful = 0;
+  guint expected_up = 0;
 
   TAILQ_FOREACH (address, &mesh->addresses, link)
     {
-      if (mesh->init.most_entries > 0 && hopeful >= mesh->init.most_entries)
+      if (mesh->init.max_entries > 0 && expected_up >= mesh->init.max_entries)
         return;
       dial (mesh, address, now_ms);
-      hopeful += is_hopeful (address, now_ms);
+      expected_up += is_expected_up (address, now_ms);
     }
 }
 
@@ -143,7 +143,7 @@
       if (peer == NULL)
         continue;
       linked++;
-      if (linked <= mesh->init.most_entries)
+      if (linked <= mesh->init.max_entries)
         peer->surplus_ms = 0;
       else if (peer->surplus_ms == 0)
         peer->surplus_ms = now_ms;
@@ -167,8 +167,8 @@
   return NULL;
 }
 
-/* Each process ranks the entries in its own order, so that the agents spread over them
- * evenly and the loss of one moves its own agents' links only. */
+/* Rendezvous hashing by the own name: agents spread evenly over the entries, and the loss
+ * of an entry moves only its own agents' links. */
 static void
 insert_ranked (Mesh *mesh, Address *address)
 {
@@ -189,7 +189,7 @@
   Address *address = find_address (mesh, text);
 
   if (address != NULL)
-    address->told_ms = clock_now_ms ();
+    address->named_ms = clock_now_ms ();
   if (address != NULL || text[0] == '\0'
       || g_strcmp0 (text, mesh->init.hello->frame_address) == 0)
     return address;
@@ -197,8 +197,8 @@
   address->mesh = mesh;
   address->text = g_strdup (text);
   address->answered_ms = clock_now_ms ();
-  address->told_ms = address->answered_ms;
-  address->wait_ms = DIAL_FIRST_MS;
+  address->named_ms = address->answered_ms;
+  address->wait_ms = DIAL_MIN_MS;
   insert_ranked (mesh, address);
   mesh_dial_soon (mesh);
   return address;
@@ -230,7 +230,7 @@
 {
   address->answered_ms = now_ms;
   address->failing_ms = 0;
-  address->wait_ms = DIAL_FIRST_MS;
+  address->wait_ms = DIAL_MIN_MS;
 }
 
 void
@@ -252,7 +252,7 @@
     {
       next = TAILQ_NEXT (address, link);
       if (!address->seed
-          && now_ms - MAX (address->answered_ms, address->told_ms) > ADDRESS_FORGET_MS)
+          && now_ms - MAX (address->answered_ms, address->named_ms) > ADDRESS_FORGET_MS)
         mesh_address_free (address);
     }
 }
--- a/src/process_stats.c
+++ b/src/process_stats.c
@@ -15,7 +15,7 @@
   struct event *timer;
   guint64 last[COUNTER_LAST];
   gint64 cpu_us; /* at the last line */
-  gint64 lag_ms;       /* maximum since the last line */
+  gint64 lag_ms; /* maximum since the last line */
 };
 
 static gint64
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -136,7 +136,7 @@
     case RELAY_VANISH:
       evbuffer_drain (from, evbuffer_get_length (from));
       break;
-    case RELAY_DEAF:
+    case RELAY_DROP_REPLIES:
       if (bev == pair->sides[0])
         evbuffer_add_buffer (to, from);
       else
@@ -157,7 +157,7 @@
   Pair *pair = ctx;
 
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) && pair->mode != RELAY_VANISH
-      && pair->mode != RELAY_DEAF)
+      && pair->mode != RELAY_DROP_REPLIES)
     pair_free (pair);
 }
 
@@ -225,7 +225,7 @@
 }
 
 void
-relay_set_line (Relay *relay, RelayWay way, RelayLine *line)
+relay_set_line (Relay *relay, RelayDirection way, RelayLine *line)
 {
   relay->lines[way == RELAY_TO_DIALLER] = line;
 }
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -10,10 +10,10 @@
 typedef enum
 {
   RELAY_PASS,
-  RELAY_VANISH, /* forwards nothing, closes nothing: a peer gone without a FIN */
-  RELAY_DEAF,   /* the target is heard no more, while it still hears */
-  RELAY_REPEAT, /* sends every whole frame twice */
-  RELAY_DELAY,  /* forwards all of it RELAY_DELAY_MS later */
+  RELAY_VANISH,       /* forwards nothing, closes nothing: a peer gone without a FIN */
+  RELAY_DROP_REPLIES, /* the target is heard no more, while it still hears */
+  RELAY_REPEAT,       /* sends every whole frame twice */
+  RELAY_DELAY,        /* forwards all of it RELAY_DELAY_MS later */
 } RelayMode;
 
 /* A line that carries a limited number of bytes a second, shared by all that is
@@ -29,7 +29,7 @@
 {
   RELAY_TO_TARGET,
   RELAY_TO_DIALLER,
-} RelayWay;
+} RelayDirection;
 
 Relay *relay_new (struct event_base *base);
 void relay_free (Relay *relay);
@@ -41,7 +41,7 @@
 void relay_set_target (Relay *relay, const char *address);
 
 /** relay_set_line - what new connections carry that way goes over @line. */
-void relay_set_line (Relay *relay, RelayWay way, RelayLine *line);
+void relay_set_line (Relay *relay, RelayDirection way, RelayLine *line);
 
 /** relay_set_mode - for connections that stand and, with @new_too, for new ones. */
 void relay_set_mode (Relay *relay, RelayMode mode, gboolean new_too);
--- a/tests/soak_faults.c
+++ b/tests/soak_faults.c
@@ -82,7 +82,7 @@
 static void
 cut_link_one_way (Soak *soak, const Fault *fault, guint target)
 {
-  relay_set_mode (soak->scene.relays[target], RELAY_DEAF, TRUE);
+  relay_set_mode (soak->scene.relays[target], RELAY_DROP_REPLIES, TRUE);
 }
 
 static void
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -208,7 +208,7 @@
   if (role == GW__HELLO__ROLE__ENTRY)
     node_listen (node);
   else
-    init.most_entries = MOST_ENTRIES;
+    init.max_entries = MOST_ENTRIES;
   node->mesh = mesh_new (&init, &node_ops, node);
   node->ticks = event_new (base, -1, EV_PERSIST, on_tick, node->mesh);
   event_add (node->ticks, &tick);
--- a/tests/test-once.c
+++ b/tests/test-once.c
@@ -154,7 +154,7 @@
 static void
 strike_deaf (Scene *scene)
 {
-  relay_set_mode (scene->harness->relay, RELAY_DEAF, FALSE);
+  relay_set_mode (scene->harness->relay, RELAY_DROP_REPLIES, FALSE);
 }
 
 /* Symptom: the store's outage stops tasks. */
