--- a/src/link.c
+++ b/src/link.c
@@ -53,16 +53,16 @@
   link_send_pending (ctx);
 }
 
-/* A peer that has lost track of the connection (a vanished VM, a forgotten entry in some
- * table between the two ends) sends no FIN: its silence is the only sign, so both ends
- * speak at least once per heartbeat and close after the timeout. */
+/* A lost peer (a VM that disappeared, a connection dropped from a NAT or firewall table)
+ * sends no FIN, so both ends send at least one frame per heartbeat interval and close the
+ * link after the timeout. */
 static void
 on_heartbeat (evutil_socket_t fd, short what, void *ctx)
 {
   Link *link = ctx;
   gint64 now = clock_now_ms ();
 
-  if (now - link->heard_ms > link->timeout_ms)
+  if (now - link->received_ms > link->timeout_ms)
     {
       link_end (link, LINK_TIMED_OUT);
       return;
@@ -73,12 +73,11 @@
   link_touch (link);
 }
 
-/* Return: FALSE if the frame must not be handled. */
+/* A proxy that repeats or reorders frames could start a task twice: each frame is handled
+ * once and in order. Return: FALSE if it must not be handled. */
 static gboolean
 check_sequence (Link *link, const Gw__Frame *frame)
 {
-  /* A relay or proxy that repeats or reorders bytes of an old frame would show as a task
-   * started twice; numbers let through each frame once and in order. */
   if (frame->sequence <= link->received_sequence)
     {
       counter_add (COUNTER_FRAMES_DROPPED, 1);
@@ -86,8 +85,8 @@
     }
   if (frame->sequence != link->received_sequence + 1)
     {
-      log_warn ("frame %" G_GUINT64_FORMAT " after %" G_GUINT64_FORMAT, frame->sequence,
-                link->received_sequence);
+      log_warn ("frame %" G_GUINT64_FORMAT " received after frame %" G_GUINT64_FORMAT,
+                frame->sequence, link->received_sequence);
       link_end (link, LINK_PROTOCOL_ERROR);
       return FALSE;
     }
@@ -135,7 +134,7 @@
   gw__frame__free_unpacked (frame, NULL);
 }
 
-/* Return: FALSE if no whole frame is there. */
+/* Return: FALSE if no complete frame is buffered or the link was closed. */
 static gboolean
 read_frame (Link *link)
 {
@@ -168,15 +167,15 @@
   Link *link = ctx;
   gint64 now = clock_now_ms ();
 
-  /* A process that was stopped finds frames of long ago in its socket. Their leases have
-   * lapsed and their senders have settled without it: handling them would start tasks
-   * that others were told had not run. */
-  if (now - link->heard_ms > link->timeout_ms)
+  /* After a stop (SIGSTOP, a suspended VM) the socket holds old frames. Their leases have
+   * expired and their senders have resolved the tasks without this process: handling them
+   * would start tasks that were reported as not run. */
+  if (now - link->received_ms > link->timeout_ms)
     {
       link_end (link, LINK_TIMED_OUT);
       return;
     }
-  link->heard_ms = now;
+  link->received_ms = now;
   link_ref (link);
   while (!link->closed && read_frame (link))
     ;
@@ -191,7 +190,7 @@
 
   if (what & BEV_EVENT_CONNECTED)
     {
-      link->heard_ms = clock_now_ms ();
+      link->received_ms = clock_now_ms ();
       bufferevent_set_timeouts (bev, NULL, NULL);
       counter_add (COUNTER_LINKS_OPENED, 1);
       return;
@@ -225,7 +224,7 @@
   for (int i = 0; i < LINK_LISTS; i++)
     link->lists[i] = g_ptr_array_new_with_free_func (link_free_message);
   link->hello_due = TRUE;
-  link->heard_ms = clock_now_ms ();
+  link->received_ms = clock_now_ms ();
   link->flush = event_new (config->base, -1, 0, on_flush, link);
   link->heartbeat = event_new (config->base, -1, EV_PERSIST, on_heartbeat, link);
   event_add (link->heartbeat, &interval);
@@ -235,7 +234,7 @@
 }
 
 static void
-on_unstartable (evutil_socket_t fd, short what, void *ctx)
+on_dial_failed (evutil_socket_t fd, short what, void *ctx)
 {
   Link *link = ctx;
 
@@ -258,7 +257,7 @@
   if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&where, &length) < 0
       || bufferevent_socket_connect (link->bev, (struct sockaddr *)&where, length) < 0)
     {
-      event_base_once (config->base, -1, EV_TIMEOUT, on_unstartable, link_ref (link),
+      event_base_once (config->base, -1, EV_TIMEOUT, on_dial_failed, link_ref (link),
                        &now);
       return link;
     }
@@ -337,7 +336,7 @@
 gint64
 link_received_ms (const Link *link)
 {
-  return link->heard_ms;
+  return link->received_ms;
 }
 
 void
--- a/src/link.h
+++ b/src/link.h
@@ -1,6 +1,6 @@
 #pragma once
-/* Links: framed, numbered, heartbeat-guarded TCP connections between our own processes.
- */
+/* Links: TCP connections between entries and agents, with length-prefixed, numbered
+ * frames and heartbeats. */
 #include "godwitspar.pb-c.h"
 
 #include <event2/event.h>
@@ -8,8 +8,8 @@
 
 typedef struct Link Link;
 
-/* Why a link went down. Only LINK_REFUSED proves that the process is gone: its machine
- * answered that nobody listens. */
+/* Why a link went down. Only LINK_REFUSED proves that the process has exited: its machine
+ * refused the connection. */
 typedef enum
 {
   LINK_REFUSED,
@@ -24,9 +24,9 @@
   /* The peer's Hello has arrived. */
   void (*up) (Link *link, gpointer ctx);
   void (*frame) (Link *link, const Gw__Frame *frame, gpointer ctx);
-  /* The link is of no more use; called once, not after link_close (). */
+  /* The link is down; called once, not after link_close (). */
   void (*down) (Link *link, LinkEnd end, gpointer ctx);
-  /* Fill in what rides on every frame; may be NULL. */
+  /* Adds what is piggybacked on every frame; may be NULL. */
   void (*prepare) (Link *link, Gw__Frame *frame, gpointer ctx);
 } LinkOps;
 
@@ -75,54 +75,54 @@
 Link *link_ref (Link *link);
 void link_unref (Link *link);
 
-/** link_close - flush nothing more, no down () follows. */
+/** link_close - close without flushing; no down () follows. */
 void link_close (Link *link);
 
-/** link_drop - close a link that may be NULL, release the reference, forget it. */
+/** link_drop - close a link that may be NULL, release the reference, set it to NULL. */
 void link_drop (Link **link);
 
 /** link_peer - the peer's Hello, NULL before it arrived. */
 const Gw__Hello *link_peer (const Link *link);
 gboolean link_is_up (const Link *link);
 
-/** link_received_ms - when the last frame arrived, on the lease clock. */
+/** link_received_ms - when data last arrived, on the lease clock. */
 gint64 link_received_ms (const Link *link);
 
-/** link_set_heartbeat - heartbeats of this link other than its configuration says, at
- * both ends. */
+/** link_set_heartbeat - override the configured interval and timeout of this link, which
+ * both ends must do. */
 void link_set_heartbeat (Link *link, guint heartbeat_ms, guint timeout_ms);
 
 /**
- * link_append - put a message into the frame of this tick.
+ * link_append - add a message to the frame of this event-loop iteration.
  * @message: allocated by malloc in all its parts; the link takes it over.
  */
 void link_append (Link *link, LinkList list, ProtobufCMessage *message);
 
-/** link_append_lazily - like link_append (), but let it wait for the next frame. */
+/** link_append_lazily - like link_append (), but sent with the next frame. */
 void link_append_lazily (Link *link, LinkList list, ProtobufCMessage *message);
 
 /**
  * link_send_load - put the sender's load into the next frame.
- * @urgent: that of this tick, not whichever falls due next.
+ * @urgent: send a frame in this event-loop iteration.
  */
 void
 link_send_load (Link *link, guint slots, guint busy, gboolean leaving, gboolean urgent);
 
-/** link_send_config - put a configuration into the frame of this tick. */
+/** link_send_config - put a configuration into the frame of this iteration. */
 void link_send_config (Link *link, guint64 version, const char *token, const char *body);
 
-/** link_unsent - bytes that wait in this process to leave on the link. */
+/** link_unsent - bytes buffered in this process for the link. */
 gsize link_unsent (const Link *link);
 
-/** link_send_inventory - mark the next frame's reports as all that there are. */
+/** link_send_inventory - mark the next frame's reports as the complete list. */
 void link_send_inventory (Link *link);
 
-/** link_touch - send a frame this tick even if nothing but what rides along is due. */
+/** link_touch - send a frame in this iteration even if nothing was appended. */
 void link_touch (Link *link);
 
-/** link_end_name - the end as a word for logs. */
+/** link_end_name - name for logs. */
 const char *link_end_name (LinkEnd end);
 
-/** link_set_data - attach the owner's own record to a link. */
+/** link_set_data - attach user data. */
 void link_set_data (Link *link, gpointer data);
 gpointer link_data (const Link *link);
--- a/src/link_parts.h
+++ b/src/link_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the parts of a link share. link.c is its life and its receiving side, link_send.c
- * its sending side. */
+/* Shared by the link's source files: link.c has its lifecycle and receiving side,
+ * link_send.c its sending side. */
 #include "link.h"
 
 #define LINK_HEADER_SIZE 4
@@ -15,7 +15,7 @@
   GPtrArray *lists[LINK_LISTS];
   gsize pending_bytes;
   Gw__Load *load;
-  Gw__Config *body;
+  Gw__Config *pending_config;
   gboolean hello_due;
   gboolean heartbeat_due;
   gboolean inventory_due;
@@ -24,7 +24,7 @@
   guint64 received_sequence;
   guint heartbeat_ms;
   guint timeout_ms;
-  gint64 heard_ms;
+  gint64 received_ms;
   gint64 sent_ms;
   gpointer data;
 };
--- a/src/link_send.c
+++ b/src/link_send.c
@@ -1,5 +1,6 @@
 #define LOG_MODULE "link"
-/* The sending side of a link: messages gathered into the frame of a tick. */
+/* The sending side of a link: messages are batched into one frame per event-loop
+ * iteration. */
 #include "clock.h"
 #include "counters.h"
 #include "link_parts.h"
@@ -8,7 +9,7 @@
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 
-/* A frame is sent early once its lists hold about this much. */
+/* A frame is sent at once when its messages exceed this. */
 #define FRAME_FULL (1u << 20)
 
 void
@@ -18,9 +19,9 @@
     g_ptr_array_set_size (link->lists[i], 0);
   link->pending_bytes = 0;
   g_clear_pointer (&link->load, g_free);
-  if (link->body != NULL)
-    gw__config__free_unpacked (link->body, NULL);
-  link->body = NULL;
+  if (link->pending_config != NULL)
+    gw__config__free_unpacked (link->pending_config, NULL);
+  link->pending_config = NULL;
 }
 
 void
@@ -29,7 +30,7 @@
   protobuf_c_message_free_unpacked (data, NULL);
 }
 
-/* Whether a frame carries what somebody waits for, apart from what rides along. */
+/* Whether a frame carries control messages, apart from what is piggybacked. */
 static gboolean
 frame_is_control (const Gw__Frame *frame)
 {
@@ -126,7 +127,7 @@
     frame.hello = link->config->hello;
   link->hello_due = FALSE;
   frame.load = link->load;
-  frame.config = link->body;
+  frame.config = link->pending_config;
   frame.inventory = link->inventory_due;
   link->inventory_due = FALSE;
   for (int i = 0; i < LINK_LISTS; i++)
@@ -201,12 +202,12 @@
 {
   if (link->closed)
     return;
-  if (link->body != NULL)
-    gw__config__free_unpacked (link->body, NULL);
-  link->body = g_new (Gw__Config, 1);
-  gw__config__init (link->body);
-  link->body->version = version;
-  link->body->token = g_strdup (token);
-  link->body->body = g_strdup (body);
+  if (link->pending_config != NULL)
+    gw__config__free_unpacked (link->pending_config, NULL);
+  link->pending_config = g_new (Gw__Config, 1);
+  gw__config__init (link->pending_config);
+  link->pending_config->version = version;
+  link->pending_config->token = g_strdup (token);
+  link->pending_config->body = g_strdup (body);
   link_touch (link);
 }
