--- a/src/clock.c
+++ b/src/clock.c
@@ -3,8 +3,8 @@
 #include <time.h>
 
 #define HLC_COUNTER_BITS 16
-/* A peer whose wall clock is this far ahead is not followed: its stamps would carry the
- * whole fleet's time line into the future. */
+/* Stamps further ahead than this are ignored: they would move the timeline of the whole
+ * fleet into the future. */
 #define HLC_MAX_AHEAD_MS 60000
 
 static guint64 last_stamp;
--- a/src/counters.c
+++ b/src/counters.c
@@ -16,7 +16,7 @@
 #undef X
 };
 
-/* Resident memory now, in kB; 0 if the kernel does not tell. */
+/* Resident memory in kB; 0 if it cannot be read. */
 static guint64
 resident_kb (void)
 {
--- a/src/counters.h
+++ b/src/counters.h
@@ -1,5 +1,5 @@
 #pragma once
-/* The process's counters: one table of names, plain integers, one page. */
+/* The process's counters, listed in COUNTER_LIST and served on the metrics page. */
 #include <glib.h>
 
 /* X (identifier, name on the page, what it counts) */
@@ -12,19 +12,20 @@
   X (JOBS_CANCELLED, "jobs_cancelled", "jobs cancelled by their callers")                \
   X (JOBS_REFUSED_INPUT, "jobs_refused_input", "submissions refused for their input")    \
   X (DIRECT_RETRIES, "direct_retries", "idempotent direct requests tried again")         \
-  X (DIRECT_RETRIES_DENIED, "direct_retries_denied", "retries the budget did not allow") \
-  X (CLAIMS_WRITTEN, "claims_written", "keyed claims written to the table")              \
+  X (DIRECT_RETRIES_DENIED, "direct_retries_denied",                                     \
+     "retries denied by the retry budget")                                               \
+  X (CLAIMS_WRITTEN, "claims_written", "key claims written to the table")                \
   X (CLAIM_BATCHES, "claim_batches", "table writes that carried claims")                 \
   X (CLAIMS_REPEATED, "claims_repeated", "keyed submissions seen before")                \
   X (CLAIMS_REFUSED, "claims_refused", "keyed submissions refused, table unreachable")   \
-  X (JOBS_SETTLED, "jobs_settled", "jobs settled with slot owners after a home's death") \
+  X (JOBS_SETTLED, "jobs_settled", "jobs reconciled with slot owners after a lost home") \
   X (TASKS_REGRANTED, "tasks_regranted", "tasks granted again after proof of no start")  \
-  X (TASKS_LOST, "tasks_lost", "tasks whose fate cannot be learned")                     \
+  X (TASKS_LOST, "tasks_lost", "tasks whose outcome cannot be determined")               \
   X (GRANTS_ACCEPTED, "grants_accepted", "tasks queued as home")                         \
   X (GRANTS_REFUSED, "grants_refused", "tasks refused as home")                          \
   X (TASKS_HANDED_BACK, "tasks_handed_back", "queued tasks handed back to their holder") \
   X (TASKS_EXPIRED, "tasks_expired", "queued tasks past their deadline")                 \
-  X (STARTS_SENT, "starts_sent", "tasks handed to slot owners")                          \
+  X (STARTS_SENT, "starts_sent", "starts sent to slot owners")                           \
   X (STARTS_REFUSED, "starts_refused", "starts refused by slot owners")                  \
   X (BACKENDS_EJECTED, "backends_ejected", "backend servers ejected for failing")        \
   X (TASKS_STARTED, "tasks_started", "tasks started on the own backend server")          \
@@ -34,38 +35,38 @@
   X (FENCED_STARTS, "fenced_starts", "starts refused by a fence or tombstone")           \
   X (LATE_STARTS, "late_starts", "starts refused past their lease")                      \
   X (STALE_OUTCOMES, "stale_outcomes", "outcomes nobody waited for (wasted)")            \
-  X (FRAMES_SENT, "frames_sent", "frames sent to own processes")                         \
-  X (FRAMES_RECEIVED, "frames_received", "frames received from own processes")           \
-  X (FRAMES_IDLE, "frames_idle", "frames sent as heartbeats, with what rides along")     \
+  X (FRAMES_SENT, "frames_sent", "frames sent to entries and agents")                    \
+  X (FRAMES_RECEIVED, "frames_received", "frames received from entries and agents")      \
+  X (FRAMES_IDLE, "frames_idle", "frames sent as heartbeats")                            \
   X (FRAMES_START, "frames_start", "frames sent that carry starts")                      \
   X (FRAMES_OUTCOME, "frames_outcome", "frames sent that carry outcomes")                \
   X (FRAMES_GRANT, "frames_grant", "frames sent that carry grants")                      \
   X (FRAMES_ACK, "frames_ack", "frames sent with only acknowledgements")                 \
   X (FRAMES_CONTROL, "frames_control", "other frames sent")                              \
   X (FRAMES_DROPPED, "frames_dropped", "repeated frames dropped")                        \
-  X (BYTES_SENT, "bytes_sent", "bytes sent to own processes")                            \
-  X (BYTES_RECEIVED, "bytes_received", "bytes received from own processes")              \
-  X (WISHES_SENT, "wishes_sent", "requests to agents to offer room")                     \
+  X (BYTES_SENT, "bytes_sent", "bytes sent to entries and agents")                       \
+  X (BYTES_RECEIVED, "bytes_received", "bytes received from entries and agents")         \
+  X (WISHES_SENT, "wishes_sent", "resource requests sent to agents")                     \
   X (RUN_ORDERS_SENT, "run_orders_sent", "orders to agents to start tasks")              \
   X (RUN_REPORTS_SENT, "run_reports_sent", "reports on runs to entries")                 \
-  X (STATES_SENT, "states_sent", "states of the backend server told to entries")         \
-  X (LINKS_OPENED, "links_opened", "connections to own processes opened")                \
-  X (LINKS_SILENT, "links_silent", "connections closed for silence")                     \
-  X (LINKS_BROKEN, "links_broken", "connections closed for breaking the protocol")       \
-  X (LINK_BACKLOG, "link_backlog_bytes", "most bytes that waited on one connection")     \
+  X (STATES_SENT, "states_sent", "states of the backend server sent to entries")         \
+  X (LINKS_OPENED, "links_opened", "connections to entries and agents opened")           \
+  X (LINKS_SILENT, "links_silent", "connections closed after a timeout")                 \
+  X (LINKS_BROKEN, "links_broken", "connections closed for a protocol error")            \
+  X (LINK_BACKLOG, "link_backlog_bytes", "most unsent bytes on one connection")          \
   X (TABLE_READS, "table_reads", "reads of the platform's table")                        \
   X (TABLE_WRITES, "table_writes", "writes to the platform's table")                     \
   X (TABLE_ERRORS, "table_errors", "requests to the table that failed")                  \
   X (TABLE_TIMEOUTS, "table_timeouts",                                                   \
      "requests to the table ended by their time limit")                                  \
   X (TABLE_REPEATS, "table_repeats",                                                     \
-     "requests to the table made again before the first was answered")                   \
+     "requests to the table repeated before the first was answered")                     \
   X (CONFIG_ADOPTED, "config_adopted", "configuration versions adopted")                 \
   X (CONFIG_STALE, "config_stale", "configurations received that were no newer")         \
   X (CONFIG_FRAMES, "config_frames", "frames sent that carry a configuration")           \
   X (CONFIG_BYTES, "config_bytes", "bytes of frames sent that carry a configuration")    \
   X (CONFIG_SILENCE, "config_silence_ms",                                                \
-     "longest time between two answers to the configuration's reader")                   \
+     "longest time between two responses to the configuration reader")                   \
   X (CONFIG_UNCONFIRMED, "config_unconfirmed",                                           \
      "submissions refused, version unconfirmed")                                         \
   X (EVENTS_WRITTEN, "events_written", "event lines written")                            \
@@ -76,13 +77,13 @@
   X (LEASED_REFUSED, "leased_refused", "leased jobs refused, not run")                   \
   X (LEASED_GIVEN_UP, "leased_given_up", "leased jobs given up after a start")           \
   X (TASKS_ENDED_SERVERS, "tasks_ended_servers",                                         \
-     "tasks given up because the servers that start them end")                           \
+     "tasks given up because their backend servers kept ending")                         \
   X (ZONES_CLOSED, "zones_closed", "availability zones seen to be closed")               \
   X (ZONES_OPENED, "zones_opened", "availability zones seen to be opened again")         \
   X (ZONES_CLOSED_NOW, "zones_closed_now", "availability zones that are closed now")     \
   X (STARTS_ZONE_CLOSED, "starts_zone_closed",                                           \
      "starts refused because the availability zone is closed")                           \
-  X (ROWS_REJECTED, "rows_rejected", "rows and reports refused for what they say")       \
+  X (ROWS_REJECTED, "rows_rejected", "invalid rows and reports refused")                 \
   X (RESTARTS, "restarts", "components restarted by their supervisor")
 
 typedef enum
@@ -102,7 +103,7 @@
   counter_values[counter] += n;
 }
 
-/** counter_set_max - for a counter of the most seen so far. */
+/** counter_set_max - raise a maximum to @value. */
 static inline void
 counter_set_max (Counter counter, guint64 value)
 {
@@ -110,7 +111,7 @@
     counter_values[counter] = value;
 }
 
-/** counter_set - for a counter of what there is now. */
+/** counter_set - set a gauge. */
 static inline void
 counter_set (Counter counter, guint64 value)
 {
--- a/src/events.c
+++ b/src/events.c
@@ -7,15 +7,16 @@
 #include <unistd.h>
 #include <xxhash.h>
 
-/* A reader that has stopped must not stop the process: lines that do not fit are counted
- * and dropped. */
+/* If the reader of standard output stalls, lines that do not fit the buffer are dropped
+ * and counted; the process never blocks. */
 #define BUFFER_BYTES (128 << 10)
 #define LINE_BYTES 512
-/* Lines are written together: a write for each would cost more than the lines. */
+/* Lines are written in batches: a system call for each would cost more than formatting.
+ */
 #define FLUSH_MS 100
 #define WINDOW_MS 1000
 #define KEEP_ALL 65536
-/* Important lines may go this many times over the budget before they are dropped too. */
+/* Lines beyond this many times the budget are dropped, important ones too. */
 #define IMPORTANT_FACTOR 2
 
 static struct
@@ -27,10 +28,10 @@
   guint budget;
   guint keep; /* of KEEP_ALL requests, this many are logged */
   gint64 window_ms;
-  guint offered; /* routine lines in this window */
+  guint routine; /* lines in this window */
   guint important;
   guint64 dropped;
-  guint64 dropped_told;
+  guint64 dropped_reported;
 } events;
 
 static void
@@ -80,16 +81,16 @@
   if (now - events.window_ms < WINDOW_MS)
     return;
   events.window_ms = now;
-  events.keep = events.offered > events.budget
-                    ? (guint)((guint64)KEEP_ALL * events.budget / events.offered)
+  events.keep = events.routine > events.budget
+                    ? (guint)((guint64)KEEP_ALL * events.budget / events.routine)
                     : KEEP_ALL;
-  events.offered = 0;
+  events.routine = 0;
   events.important = 0;
-  if (events.dropped == events.dropped_told)
+  if (events.dropped == events.dropped_reported)
     return;
   g_snprintf (text, sizeof text, "dropped=%" G_GUINT64_FORMAT " kept_share=%.3f",
-              events.dropped - events.dropped_told, (double)events.keep / KEEP_ALL);
-  events.dropped_told = events.dropped;
+              events.dropped - events.dropped_reported, (double)events.keep / KEEP_ALL);
+  events.dropped_reported = events.dropped;
   append_line (TRUE, "events", "lines-dropped", "-", text);
 }
 
@@ -111,7 +112,7 @@
   events.budget = lines_per_s;
   events.keep = KEEP_ALL;
   events.window_ms = clock_now_ms ();
-  events.offered = 0;
+  events.routine = 0;
   events.important = 0;
   events.used = 0;
   events.flush = event_new (base, -1, EV_PERSIST, on_flush, NULL);
@@ -128,15 +129,15 @@
   g_clear_pointer (&events.process, g_free);
 }
 
-/* A request keeps all of its lines or none: half a story explains nothing. */
+/* Samples whole requests: part of a request's lines would not explain it. */
 static gboolean
 is_kept (gboolean important, const char *job)
 {
   if (important)
     return events.important++ < IMPORTANT_FACTOR * events.budget;
-  events.offered++;
+  events.routine++;
   if (events.keep == KEEP_ALL)
-    return events.offered <= IMPORTANT_FACTOR * events.budget;
+    return events.routine <= IMPORTANT_FACTOR * events.budget;
   return (XXH3_64bits (job, strlen (job)) & (KEEP_ALL - 1)) < events.keep;
 }
 
--- a/src/histograms.h
+++ b/src/histograms.h
@@ -1,16 +1,16 @@
 #pragma once
-/* Latency histograms with fixed bounds, on the metrics page beside the counters. */
+/* Latency histograms with fixed bounds, served on the metrics page. */
 #include <glib.h>
 
 /* X (identifier, name on the page, what it measures) */
 #define HISTOGRAM_LIST(X)                                                                \
   X (REQUEST, "leased_request_ms", "from a caller's request to its answer, completed")   \
   X (REFUSAL, "leased_refusal_ms", "from a caller's request to its refusal, not run")    \
-  X (PLACING, "leased_placing_ms", "from a request to each order of its tasks")          \
+  X (PLACING, "leased_placing_ms", "from a request to each start order of its tasks")    \
   X (RUN, "leased_run_ms", "from the start of a run to its end as done")                 \
   X (SERVER_CALL, "server_call_ms", "calls to the backend server, answered")             \
-  X (STORE_CALL, "store_call_ms", "calls to the platform's store, feeds apart")          \
-  X (LOOP_LAG, "loop_lag_ms", "how late the loop's ticks came")
+  X (STORE_CALL, "store_call_ms", "calls to the platform's store, without feeds")        \
+  X (LOOP_LAG, "loop_lag_ms", "delay of event-loop ticks")
 
 typedef enum
 {
@@ -20,9 +20,8 @@
       HISTOGRAM_LAST
 } Histogram;
 
-/** histogram_observe - note one duration. */
+/** histogram_observe - record a duration. */
 void histogram_observe (Histogram histogram, gint64 ms);
 
-/** histograms_page - all as cumulative buckets, in the text format of Prometheus; free
- * with g_free. */
+/** histograms_page - all histograms in the Prometheus text format; free with g_free. */
 char *histograms_page (void);
--- a/src/listen.c
+++ b/src/listen.c
@@ -7,8 +7,8 @@
 
 #define HEADERS_MAX_BYTES 16384
 #define IDLE_TIMEOUT_S 60
-/* evhttp closes the connection beyond this; limits.max_body_kb, at most 16 MB, is checked
- * before with an answer. */
+/* evhttp closes the connection beyond this. limits.max_body_kb, at most 16 MB, is below
+ * it and is answered with an error. */
 #define BODY_MAX_BYTES (18 << 20)
 
 struct Listener
--- a/src/listen.h
+++ b/src/listen.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Listening sockets by "ip:port"; port 0 lets the kernel choose. */
+/* Listening sockets on "ip:port"; with port 0 the kernel chooses one. */
 #include "http.h"
 
 #include <event2/listener.h>
@@ -9,7 +9,8 @@
 
 typedef struct Listener Listener;
 
-/** listen_frames - accept connections; @error is GODWITSPAR_ERROR_SYSTEM. */
+/** listen_frames - accept connections of entries and agents; fails with
+ * GODWITSPAR_ERROR_SYSTEM. */
 Listener *listen_frames (struct event_base *base,
                          const char *address,
                          ListenAccept accept,
@@ -17,9 +18,9 @@
                          GError **error);
 void listen_free (Listener *listener);
 
-/** listen_address - where it listens, the kernel's port filled in. */
+/** listen_address - the bound address, with the kernel's port. */
 const char *listen_address (const Listener *listener);
 
-/** listen_http - serve HTTP; *@bound is the address, free with g_free. */
+/** listen_http - serve HTTP; *@bound is the bound address, free with g_free. */
 struct evhttp *
 listen_http (struct event_base *base, const char *address, char **bound, GError **error);
--- a/src/log.c
+++ b/src/log.c
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 static const char *program_name = "godwitspar";
-static LogLevel least_level = LOG_INFO;
+static LogLevel max_level = LOG_INFO;
 
 static const char *const level_names[]
     = { "", "", "", "error", "warning", "notice", "info", "debug" };
@@ -15,13 +15,13 @@
 log_init (const char *program, LogLevel level)
 {
   program_name = program;
-  least_level = level;
+  max_level = level;
 }
 
 void
 log_set_level (LogLevel level)
 {
-  least_level = level;
+  max_level = level;
 }
 
 int
@@ -41,7 +41,7 @@
   GDateTime *now = NULL;
   char *stamp = NULL;
 
-  if (level > least_level)
+  if (level > max_level)
     return;
 
   va_start (args, format);
--- a/src/log.h
+++ b/src/log.h
@@ -1,6 +1,6 @@
 #pragma once
-/* syslog-style lines on standard error, for changes of state only. Each file names its
- * module by LOG_MODULE before it includes this. */
+/* Log lines with syslog levels on standard error, for changes of state only. Each file
+ * defines LOG_MODULE before it includes this. */
 #include <glib.h>
 
 typedef enum
@@ -13,13 +13,13 @@
 } LogLevel;
 
 /**
- * log_init - name the process and the least level that is written.
+ * log_init - set the program name and the highest level written.
  * @program: the program's name, kept by reference.
  * @level: lines above this level are dropped.
  */
 void log_init (const char *program, LogLevel level);
 
-/** log_set_level - the least level from now on. */
+/** log_set_level - change the highest level written. */
 void log_set_level (LogLevel level);
 
 /** log_level_parse - "error", "warning", "notice", "info" or "debug"; -1 if none of them.
--- a/src/messages.h
+++ b/src/messages.h
@@ -1,6 +1,6 @@
 #pragma once
-/* Small constructors for messages between our processes. All parts are malloc'ed, as
- * link_append () wants them. */
+/* Constructors for protobuf messages. All parts are allocated by malloc, as link_append
+ * () requires. */
 #include "godwitspar.pb-c.h"
 #include "jobid.h"
 
@@ -11,7 +11,7 @@
 Gw__Backend *message_backend_copy (const Gw__Backend *backend);
 Gw__Outcome *message_outcome_copy (const Gw__Outcome *outcome);
 
-/** message_not_run - a refusal of one task with its reason. */
+/** message_not_run - an outcome: the task was not run. */
 Gw__Outcome *message_not_run (const JobKey *key,
                               guint32 index,
                               guint32 attempt,
