--- a/tests/relay.c
+++ b/tests/relay.c
@@ -9,26 +9,26 @@
 
 #define LINE_TICK_MS 20
 
-typedef struct Pair
+typedef struct Connection
 {
-  LIST_ENTRY (Pair) link_entry;
+  LIST_ENTRY (Connection) link_entry;
   Relay *relay;
   struct bufferevent *sides[2];
   RelayMode mode;
   gboolean cutting;
   gsize bytes_left;
-  LIST_HEAD (, Held) held;
-} Pair;
+  LIST_HEAD (, Delayed) delayed;
+} Connection;
 
-/* Bytes under way in RELAY_DELAY. */
-typedef struct Held
+/* Bytes held back by RELAY_DELAY. */
+typedef struct Delayed
 {
-  LIST_ENTRY (Held) link_entry;
-  Pair *pair;
+  LIST_ENTRY (Delayed) link_entry;
+  Connection *conn;
   guint to;
   struct evbuffer *bytes;
   struct event *timer;
-} Held;
+} Delayed;
 
 struct RelayLine
 {
@@ -43,31 +43,31 @@
   Listener *listener;
   char *target;
   RelayMode new_mode;
-  RelayLine *lines[2]; /* by the side that is read; NULL: as fast as it comes */
-  LIST_HEAD (, Pair) pairs;
+  RelayLine *lines[2]; /* by the side that is read; NULL: no limit */
+  LIST_HEAD (, Connection) connections;
 };
 
 static void
-held_free (Held *held)
+delayed_free (Delayed *delayed)
 {
-  LIST_REMOVE (held, link_entry);
-  event_free (held->timer);
-  evbuffer_free (held->bytes);
-  g_free (held);
+  LIST_REMOVE (delayed, link_entry);
+  event_free (delayed->timer);
+  evbuffer_free (delayed->bytes);
+  g_free (delayed);
 }
 
 static void
-pair_free (Pair *pair)
+connection_free (Connection *conn)
 {
-  while (!LIST_EMPTY (&pair->held))
-    held_free (LIST_FIRST (&pair->held));
-  LIST_REMOVE (pair, link_entry);
-  bufferevent_free (pair->sides[0]);
-  bufferevent_free (pair->sides[1]);
-  g_free (pair);
+  while (!LIST_EMPTY (&conn->delayed))
+    delayed_free (LIST_FIRST (&conn->delayed));
+  LIST_REMOVE (conn, link_entry);
+  bufferevent_free (conn->sides[0]);
+  bufferevent_free (conn->sides[1]);
+  g_free (conn);
 }
 
-/* Move whole frames, each twice. */
+/* Forwards each complete frame twice. */
 static void
 repeat_frames (struct evbuffer *from, struct evbuffer *to)
 {
@@ -89,46 +89,47 @@
 static void
 on_delayed (evutil_socket_t fd, short what, void *ctx)
 {
-  Held *held = ctx;
+  Delayed *delayed = ctx;
 
-  evbuffer_add_buffer (bufferevent_get_output (held->pair->sides[held->to]), held->bytes);
-  held_free (held);
+  evbuffer_add_buffer (bufferevent_get_output (delayed->conn->sides[delayed->to]),
+                       delayed->bytes);
+  delayed_free (delayed);
 }
 
-/* What comes later waits as long, and so stays in order. */
+/* All data is delayed by the same time, so it stays in order. */
 static void
-delay (Pair *pair, guint to, struct evbuffer *from)
+delay (Connection *conn, guint to, struct evbuffer *from)
 {
   struct timeval wait = timeval_from_ms (RELAY_DELAY_MS);
-  Held *held = g_new0 (Held, 1);
-
-  held->pair = pair;
-  held->to = to;
-  held->bytes = evbuffer_new ();
-  evbuffer_add_buffer (held->bytes, from);
-  held->timer = evtimer_new (pair->relay->base, on_delayed, held);
-  event_add (held->timer, &wait);
-  LIST_INSERT_HEAD (&pair->held, held, link_entry);
+  Delayed *delayed = g_new0 (Delayed, 1);
+
+  delayed->conn = conn;
+  delayed->to = to;
+  delayed->bytes = evbuffer_new ();
+  evbuffer_add_buffer (delayed->bytes, from);
+  delayed->timer = evtimer_new (conn->relay->base, on_delayed, delayed);
+  event_add (delayed->timer, &wait);
+  LIST_INSERT_HEAD (&conn->delayed, delayed, link_entry);
 }
 
 static void
 on_read (struct bufferevent *bev, void *ctx)
 {
-  Pair *pair = ctx;
-  struct bufferevent *other = pair->sides[bev == pair->sides[0]];
+  Connection *conn = ctx;
+  struct bufferevent *other = conn->sides[bev == conn->sides[0]];
   struct evbuffer *from = bufferevent_get_input (bev);
   struct evbuffer *to = bufferevent_get_output (other);
   gsize moved;
 
-  if (pair->cutting)
+  if (conn->cutting)
     {
-      moved = evbuffer_remove_buffer (from, to, pair->bytes_left);
-      pair->bytes_left -= moved;
-      if (pair->bytes_left == 0)
-        pair_free (pair);
+      moved = evbuffer_remove_buffer (from, to, conn->bytes_left);
+      conn->bytes_left -= moved;
+      if (conn->bytes_left == 0)
+        connection_free (conn);
       return;
     }
-  switch (pair->mode)
+  switch (conn->mode)
     {
     case RELAY_PASS:
       evbuffer_add_buffer (to, from);
@@ -137,7 +138,7 @@
       evbuffer_drain (from, evbuffer_get_length (from));
       break;
     case RELAY_DROP_REPLIES:
-      if (bev == pair->sides[0])
+      if (bev == conn->sides[0])
         evbuffer_add_buffer (to, from);
       else
         evbuffer_drain (from, evbuffer_get_length (from));
@@ -146,7 +147,7 @@
       repeat_frames (from, to);
       break;
     case RELAY_DELAY:
-      delay (pair, bev == pair->sides[0], from);
+      delay (conn, bev == conn->sides[0], from);
       break;
     }
 }
@@ -154,50 +155,50 @@
 static void
 on_event (struct bufferevent *bev, short what, void *ctx)
 {
-  Pair *pair = ctx;
+  Connection *conn = ctx;
 
-  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) && pair->mode != RELAY_VANISH
-      && pair->mode != RELAY_DROP_REPLIES)
-    pair_free (pair);
+  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) && conn->mode != RELAY_VANISH
+      && conn->mode != RELAY_DROP_REPLIES)
+    connection_free (conn);
 }
 
 static void
 on_accept (evutil_socket_t fd, gpointer ctx)
 {
   Relay *relay = ctx;
-  struct sockaddr_in where;
-  int length = sizeof where;
-  Pair *pair;
+  struct sockaddr_in address;
+  int length = sizeof address;
+  Connection *conn;
 
-  /* Others dial again at once what is being restarted, before the test knows where the
-   * process behind the relay listens. */
+  /* A process that is being restarted is dialled before the test knows its address. */
   if (relay->target == NULL)
     {
       evutil_closesocket (fd);
       return;
     }
-  pair = g_new0 (Pair, 1);
+  conn = g_new0 (Connection, 1);
   evutil_make_socket_nonblocking (fd);
-  pair->relay = relay;
-  pair->mode = relay->new_mode;
-  pair->sides[0] = bufferevent_socket_new (relay->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  pair->sides[1] = bufferevent_socket_new (relay->base, -1, BEV_OPT_CLOSE_ON_FREE);
-  LIST_INIT (&pair->held);
-  LIST_INSERT_HEAD (&relay->pairs, pair, link_entry);
+  conn->relay = relay;
+  conn->mode = relay->new_mode;
+  conn->sides[0] = bufferevent_socket_new (relay->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  conn->sides[1] = bufferevent_socket_new (relay->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  LIST_INIT (&conn->delayed);
+  LIST_INSERT_HEAD (&relay->connections, conn, link_entry);
   for (int i = 0; i < 2; i++)
     {
-      bufferevent_setcb (pair->sides[i], on_read, NULL, on_event, pair);
+      bufferevent_setcb (conn->sides[i], on_read, NULL, on_event, conn);
       if (relay->lines[i] != NULL)
-        bufferevent_add_to_rate_limit_group (pair->sides[i], relay->lines[i]->group);
+        bufferevent_add_to_rate_limit_group (conn->sides[i], relay->lines[i]->group);
     }
-  evutil_parse_sockaddr_port (relay->target, (struct sockaddr *)&where, &length);
-  if (bufferevent_socket_connect (pair->sides[1], (struct sockaddr *)&where, length) < 0)
+  evutil_parse_sockaddr_port (relay->target, (struct sockaddr *)&address, &length);
+  if (bufferevent_socket_connect (conn->sides[1], (struct sockaddr *)&address, length)
+      < 0)
     {
-      pair_free (pair);
+      connection_free (conn);
       return;
     }
   for (int i = 0; i < 2; i++)
-    bufferevent_enable (pair->sides[i], EV_READ | EV_WRITE);
+    bufferevent_enable (conn->sides[i], EV_READ | EV_WRITE);
 }
 
 RelayLine *
@@ -217,7 +218,7 @@
 void
 relay_line_free (RelayLine *line)
 {
-  /* Connections that were freed leave the group in the next turn of the loop. */
+  /* Freed connections leave the group in the next event-loop iteration. */
   event_base_loop (line->base, EVLOOP_NONBLOCK);
   bufferevent_rate_limit_group_free (line->group);
   ev_token_bucket_cfg_free (line->rate);
@@ -225,9 +226,9 @@
 }
 
 void
-relay_set_line (Relay *relay, RelayDirection way, RelayLine *line)
+relay_set_line (Relay *relay, RelayDirection direction, RelayLine *line)
 {
-  relay->lines[way == RELAY_TO_DIALLER] = line;
+  relay->lines[direction == RELAY_TO_DIALLER] = line;
 }
 
 Relay *
@@ -237,7 +238,7 @@
   GError *error = NULL;
 
   relay->base = base;
-  LIST_INIT (&relay->pairs);
+  LIST_INIT (&relay->connections);
   relay->listener = listen_frames (base, "127.0.0.1:0", on_accept, relay, &error);
   g_assert_no_error (error);
   return relay;
@@ -246,10 +247,10 @@
 void
 relay_free (Relay *relay)
 {
-  Pair *pair;
+  Connection *conn;
 
-  while ((pair = LIST_FIRST (&relay->pairs)) != NULL)
-    pair_free (pair);
+  while ((conn = LIST_FIRST (&relay->connections)) != NULL)
+    connection_free (conn);
   listen_free (relay->listener);
   g_free (relay->target);
   g_free (relay);
@@ -271,37 +272,37 @@
 void
 relay_set_mode (Relay *relay, RelayMode mode, gboolean new_too)
 {
-  Pair *pair;
+  Connection *conn;
 
   if (new_too)
     relay->new_mode = mode;
-  LIST_FOREACH (pair, &relay->pairs, link_entry)
-    pair->mode = mode;
+  LIST_FOREACH (conn, &relay->connections, link_entry)
+    conn->mode = mode;
 }
 
 void
 relay_cut (Relay *relay, gsize bytes)
 {
-  Pair *pair;
-  Pair *next;
+  Connection *conn;
+  Connection *next;
 
-  for (pair = LIST_FIRST (&relay->pairs); pair != NULL; pair = next)
+  for (conn = LIST_FIRST (&relay->connections); conn != NULL; conn = next)
     {
-      next = LIST_NEXT (pair, link_entry);
-      pair->cutting = TRUE;
-      pair->bytes_left = bytes;
+      next = LIST_NEXT (conn, link_entry);
+      conn->cutting = TRUE;
+      conn->bytes_left = bytes;
       if (bytes == 0)
-        pair_free (pair);
+        connection_free (conn);
     }
 }
 
 guint
 relay_open (const Relay *relay)
 {
-  const Pair *pair;
+  const Connection *conn;
   guint n = 0;
 
-  LIST_FOREACH (pair, &relay->pairs, link_entry)
+  LIST_FOREACH (conn, &relay->connections, link_entry)
     n++;
   return n;
 }
--- a/tests/test-events.c
+++ b/tests/test-events.c
@@ -1,4 +1,4 @@
-/* Event lines: bounded, whole stories or none, and never blocking. */
+/* Event lines: bounded rate, sampled by whole request, never blocking. */
 #include "counters.h"
 #include "events.h"
 #include "histograms.h"
@@ -11,19 +11,17 @@
 #define BUDGET 50
 #define LINES 20000
 
-/* Symptom: a process stands still because nobody reads its log.
- * Sequence: the reader of standard output stops; the pipe fills.
- * Cause: writes that wait. */
+/* Writes that block stall the process once nobody reads its standard output. */
 static void
 test_stopped_reader (void)
 {
   struct event_base *base = event_base_new ();
-  int keep = dup (STDOUT_FILENO);
-  int ends[2];
+  int saved_stdout = dup (STDOUT_FILENO);
+  int fds[2];
   guint64 dropped = counter_values[COUNTER_EVENTS_DROPPED];
 
-  g_assert_cmpint (pipe (ends), ==, 0);
-  dup2 (ends[1], STDOUT_FILENO);
+  g_assert_cmpint (pipe (fds), ==, 0);
+  dup2 (fds[1], STDOUT_FILENO);
   events_init (base, "p", 1000000);
   for (guint i = 0; i < LINES; i++)
     {
@@ -32,24 +30,24 @@
         event_base_loop (base, EVLOOP_NONBLOCK);
     }
   events_close ();
-  dup2 (keep, STDOUT_FILENO);
-  close (keep);
-  close (ends[0]);
-  close (ends[1]);
+  dup2 (saved_stdout, STDOUT_FILENO);
+  close (saved_stdout);
+  close (fds[0]);
+  close (fds[1]);
   g_assert_cmpuint (counter_values[COUNTER_EVENTS_DROPPED], >, dropped);
   event_base_free (base);
 }
 
-/* Beyond the budget the important lines go first, and no routine line without limit. */
+/* Routine lines are limited to twice the budget; important ones are still written. */
 static void
 test_budget (void)
 {
   struct event_base *base = event_base_new ();
-  int keep = dup (STDOUT_FILENO);
-  int null = open ("/dev/null", O_WRONLY);
+  int saved_stdout = dup (STDOUT_FILENO);
+  int null_fd = open ("/dev/null", O_WRONLY);
   guint64 written;
 
-  dup2 (null, STDOUT_FILENO);
+  dup2 (null_fd, STDOUT_FILENO);
   events_init (base, "p", BUDGET);
   written = counter_values[COUNTER_EVENTS_WRITTEN];
   for (guint i = 0; i < 10 * BUDGET; i++)
@@ -60,9 +58,9 @@
   event_note ("important", "job", "number=%u", 1);
   g_assert_cmpuint (counter_values[COUNTER_EVENTS_WRITTEN] - written, ==, 1);
   events_close ();
-  dup2 (keep, STDOUT_FILENO);
-  close (keep);
-  close (null);
+  dup2 (saved_stdout, STDOUT_FILENO);
+  close (saved_stdout);
+  close (null_fd);
   event_base_free (base);
 }
 
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -1,4 +1,4 @@
-/* How processes find each other again. */
+/* Discovery, dialling and the limit on links in the mesh. */
 #include "clock.h"
 #include "mesh.h"
 
@@ -6,9 +6,9 @@
 #include <netinet/in.h>
 #include <string.h>
 
-#define WATCHED_MS 2000
-/* One each 50 ms would be 40; one each 250 ms are 9. */
-#define ATTEMPTS_LEAST 15
+#define RUN_MS 2000
+/* Dialling every 50 ms makes 40 attempts; every 250 ms, 9. */
+#define MIN_ATTEMPTS 15
 
 typedef struct
 {
@@ -17,29 +17,29 @@
 } Restarting;
 
 static void
-no_peer (MeshPeer *peer, gpointer ctx)
+ignore_peer (MeshPeer *peer, gpointer ctx)
 {
 }
 
 static void
-no_frame (MeshPeer *peer, const Gw__Frame *frame, gpointer ctx)
+ignore_frame (MeshPeer *peer, const Gw__Frame *frame, gpointer ctx)
 {
 }
 
 static void
-nothing_to_add (MeshPeer *peer, Gw__Frame *frame, gpointer ctx)
+add_nothing (MeshPeer *peer, Gw__Frame *frame, gpointer ctx)
 {
 }
 
 static void
-not_isolated (gpointer ctx)
+ignore_isolation (gpointer ctx)
 {
 }
 
-static const MeshOps ops
-    = { no_peer, no_peer, no_frame, nothing_to_add, no_peer, not_isolated };
+static const MeshOps ops = { ignore_peer, ignore_peer, ignore_frame,
+                             add_nothing, ignore_peer, ignore_isolation };
 
-/* A process that is not ready yet: whoever dials it is cut off. */
+/* A process that is still starting: closes each connection. */
 static void
 on_dialled (struct evconnlistener *listener,
             evutil_socket_t fd,
@@ -60,7 +60,7 @@
 }
 
 static char *
-listen_somewhere (Restarting *restarting, struct evconnlistener **listener)
+listen_loopback (Restarting *restarting, struct evconnlistener **listener)
 {
   struct sockaddr_in address
       = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
@@ -74,20 +74,17 @@
   return g_strdup_printf ("127.0.0.1:%u", ntohs (address.sin_port));
 }
 
-/* Symptom: after all machines lost power, callers were refused or answered late for up to
- *   0.23 s after the entries had started again.
- * Sequence: an agent is back first and dials its entries; their processes are not up yet;
- *   it waits a quarter of a second before it dials again.
- * Cause: the pace for addresses that may be gone for good was also that for processes
- *   that are being restarted. */
+/* After a power loss of all machines, an agent that was back first dialled its entries
+ * before their processes were up and then waited 250 ms, the interval for addresses that
+ * may be gone for good; callers were refused or delayed for up to 0.23 s. */
 static void
-test_restarting (void)
+test_restarting_peer (void)
 {
   Restarting restarting = { event_base_new () };
-  struct timeval watched = timeval_from_ms (WATCHED_MS);
+  struct timeval run_time = timeval_from_ms (RUN_MS);
   struct timeval tick = timeval_from_ms (MESH_TICK_MS);
   struct evconnlistener *listener;
-  char *address = listen_somewhere (&restarting, &listener);
+  char *address = listen_loopback (&restarting, &listener);
   char *seeds[] = { address, NULL };
   Gw__Hello hello;
   MeshInit init = { .base = restarting.base,
@@ -105,10 +102,10 @@
   mesh_seed (mesh, seeds);
   ticks = event_new (restarting.base, -1, EV_PERSIST, on_tick, mesh);
   event_add (ticks, &tick);
-  event_base_loopexit (restarting.base, &watched);
+  event_base_loopexit (restarting.base, &run_time);
   event_base_dispatch (restarting.base);
   g_test_message ("%u attempts", restarting.attempts);
-  g_assert_cmpuint (restarting.attempts, >=, ATTEMPTS_LEAST);
+  g_assert_cmpuint (restarting.attempts, >=, MIN_ATTEMPTS);
   event_free (ticks);
   mesh_free (mesh);
   evconnlistener_free (listener);
@@ -116,16 +113,16 @@
   g_free (address);
 }
 
-/* Entries and agents of one process, each with a mesh of its own. */
+/* Entries and agents in one process, each with its own mesh. */
 
 #define ENTRIES 12
 #define AGENTS 24
-#define MOST_ENTRIES 4
-/* Every agent has as many links, so an entry has this many in the mean. */
-#define AGENTS_AN_ENTRY (AGENTS * MOST_ENTRIES / ENTRIES)
-#define AGENTS_AN_ENTRY_MOST ((guint64)3 * AGENTS_AN_ENTRY)
-/* After this all must have found one another, on a busy machine too. */
-#define SETTLED_MS 4000
+#define MAX_ENTRIES 4
+/* Mean number of agents linked to an entry. */
+#define AGENTS_PER_ENTRY (AGENTS * MAX_ENTRIES / ENTRIES)
+#define MAX_AGENTS_PER_ENTRY ((guint64)3 * AGENTS_PER_ENTRY)
+/* Time for all links to be set up, also on a busy machine. */
+#define CONVERGE_MS 4000
 
 typedef struct
 {
@@ -136,7 +133,7 @@
   Mesh *mesh;
   struct evconnlistener *listener;
   struct event *ticks;
-  gboolean holds; /* its runs keep it from ending links */
+  gboolean has_work; /* its links must not be released */
 } Node;
 
 typedef struct
@@ -144,18 +141,19 @@
   struct event_base *base;
   Node entries[ENTRIES];
   Node agents[AGENTS];
-} Parts;
+} Cluster;
 
 static gboolean
 may_release (MeshPeer *peer, gpointer ctx)
 {
   const Node *node = ctx;
 
-  return !node->holds;
+  return !node->has_work;
 }
 
 static const MeshOps node_ops
-    = { no_peer, no_peer, no_frame, nothing_to_add, no_peer, not_isolated, may_release };
+    = { ignore_peer, ignore_peer,      ignore_frame, add_nothing,
+        ignore_peer, ignore_isolation, may_release };
 
 static void
 on_node_accept (struct evconnlistener *listener,
@@ -208,7 +206,7 @@
   if (role == GW__HELLO__ROLE__ENTRY)
     node_listen (node);
   else
-    init.max_entries = MOST_ENTRIES;
+    init.max_entries = MAX_ENTRIES;
   node->mesh = mesh_new (&init, &node_ops, node);
   node->ticks = event_new (base, -1, EV_PERSIST, on_tick, node->mesh);
   event_add (node->ticks, &tick);
@@ -226,44 +224,44 @@
   node->mesh = NULL;
 }
 
-/* All begin with the address of one entry only. */
+/* Each node is seeded with the address of the first entry only. */
 static void
-parts_open (Parts *parts)
+cluster_open (Cluster *cluster)
 {
   char *seeds[] = { NULL, NULL };
 
-  parts->base = event_base_new ();
+  cluster->base = event_base_new ();
   for (guint i = 0; i < ENTRIES; i++)
-    node_open (&parts->entries[i], parts->base, GW__HELLO__ROLE__ENTRY, i);
+    node_open (&cluster->entries[i], cluster->base, GW__HELLO__ROLE__ENTRY, i);
   for (guint i = 0; i < AGENTS; i++)
-    node_open (&parts->agents[i], parts->base, GW__HELLO__ROLE__AGENT, i);
-  seeds[0] = parts->entries[0].address;
+    node_open (&cluster->agents[i], cluster->base, GW__HELLO__ROLE__AGENT, i);
+  seeds[0] = cluster->entries[0].address;
   for (guint i = 1; i < ENTRIES; i++)
-    mesh_seed (parts->entries[i].mesh, seeds);
+    mesh_seed (cluster->entries[i].mesh, seeds);
   for (guint i = 0; i < AGENTS; i++)
-    mesh_seed (parts->agents[i].mesh, seeds);
+    mesh_seed (cluster->agents[i].mesh, seeds);
 }
 
 static void
-parts_close (Parts *parts)
+cluster_close (Cluster *cluster)
 {
   for (guint i = 0; i < AGENTS; i++)
-    node_close (&parts->agents[i]);
+    node_close (&cluster->agents[i]);
   for (guint i = 0; i < ENTRIES; i++)
-    node_close (&parts->entries[i]);
-  event_base_free (parts->base);
+    node_close (&cluster->entries[i]);
+  event_base_free (cluster->base);
 }
 
 static void
-parts_run (Parts *parts, guint ms)
+cluster_run (Cluster *cluster, guint ms)
 {
   struct timeval time = timeval_from_ms (ms);
 
-  event_base_loopexit (parts->base, &time);
-  event_base_dispatch (parts->base);
+  event_base_loopexit (cluster->base, &time);
+  event_base_dispatch (cluster->base);
 }
 
-/* Links to entries, or to agents. */
+/* Number of links to entries, or to agents. */
 static guint
 linked (const Node *node, gboolean entries)
 {
@@ -275,82 +273,79 @@
 }
 
 static void
-check_agents (const Parts *parts)
+check_agents (const Cluster *cluster)
 {
   for (guint i = 0; i < AGENTS; i++)
-    g_assert_cmpuint (linked (&parts->agents[i], TRUE), ==, MOST_ENTRIES);
+    g_assert_cmpuint (linked (&cluster->agents[i], TRUE), ==, MAX_ENTRIES);
 }
 
-/* Symptom: with 55 entries and 240 agents all processes are busy with each other's
- *   heartbeats before the first caller comes.
- * Sequence: every agent links to every entry it hears of.
- * Cause: no limit on links, so that they grow with entries times agents. */
+/* Without a limit each agent links to each entry it learns of: with 55 entries and 240
+ * agents, heartbeats alone kept all processes busy. */
 static void
-test_parts (void)
+test_max_entries (void)
 {
-  Parts parts = { 0 };
+  Cluster cluster = { 0 };
 
-  parts_open (&parts);
-  parts_run (&parts, SETTLED_MS);
-  check_agents (&parts);
+  cluster_open (&cluster);
+  cluster_run (&cluster, CONVERGE_MS);
+  check_agents (&cluster);
   for (guint i = 0; i < ENTRIES; i++)
     {
-      guint agents = linked (&parts.entries[i], FALSE);
+      guint agents = linked (&cluster.entries[i], FALSE);
 
       g_test_message ("entry %u: %u agents", i, agents);
-      g_assert_cmpuint (linked (&parts.entries[i], TRUE), ==, ENTRIES - 1);
+      g_assert_cmpuint (linked (&cluster.entries[i], TRUE), ==, ENTRIES - 1);
       g_assert_cmpuint (agents, >, 0);
-      g_assert_cmpuint (agents, <=, AGENTS_AN_ENTRY_MOST);
+      g_assert_cmpuint (agents, <=, MAX_AGENTS_PER_ENTRY);
     }
-  parts_close (&parts);
+  cluster_close (&cluster);
 }
 
-/* An agent whose entries are gone goes to others, however many there are. */
+/* An agent that loses its entries links to others, however many are left. */
 static void
-test_parts_lost (void)
+test_lost_entries_replaced (void)
 {
-  Parts parts = { 0 };
-
-  parts_open (&parts);
-  parts_run (&parts, SETTLED_MS);
-  for (guint i = 0; i < ENTRIES - MOST_ENTRIES; i++)
-    node_close (&parts.entries[i]);
-  parts_run (&parts, SETTLED_MS);
-  check_agents (&parts);
-  for (guint i = ENTRIES - MOST_ENTRIES; i < ENTRIES; i++)
-    g_assert_cmpuint (linked (&parts.entries[i], FALSE), ==, AGENTS);
-  parts_close (&parts);
+  Cluster cluster = { 0 };
+
+  cluster_open (&cluster);
+  cluster_run (&cluster, CONVERGE_MS);
+  for (guint i = 0; i < ENTRIES - MAX_ENTRIES; i++)
+    node_close (&cluster.entries[i]);
+  cluster_run (&cluster, CONVERGE_MS);
+  check_agents (&cluster);
+  for (guint i = ENTRIES - MAX_ENTRIES; i < ENTRIES; i++)
+    g_assert_cmpuint (linked (&cluster.entries[i], FALSE), ==, AGENTS);
+  cluster_close (&cluster);
 }
 
-/* Symptom: runs are stopped and their jobs wait again although nothing has failed.
- * Sequence: an agent comes over a seed that is not among its entries, starts runs for it,
- *   and finds its own entries.
- * Cause: the link that is not needed any more ended with runs on it. */
+/* An agent that starts runs for a seed entry and then finds its own entries must not
+ * close the surplus link while the runs go on: they would be stopped and their jobs
+ * requeued. */
 static void
-test_parts_keep_work (void)
+test_links_with_work_kept (void)
 {
-  Parts parts = { 0 };
+  Cluster cluster = { 0 };
 
-  parts_open (&parts);
+  cluster_open (&cluster);
   for (guint i = 0; i < AGENTS; i++)
-    parts.agents[i].holds = TRUE;
-  parts_run (&parts, SETTLED_MS);
-  g_assert_cmpuint (linked (&parts.entries[0], FALSE), ==, AGENTS);
+    cluster.agents[i].has_work = TRUE;
+  cluster_run (&cluster, CONVERGE_MS);
+  g_assert_cmpuint (linked (&cluster.entries[0], FALSE), ==, AGENTS);
   for (guint i = 0; i < AGENTS; i++)
-    parts.agents[i].holds = FALSE;
-  parts_run (&parts, SETTLED_MS);
-  check_agents (&parts);
-  g_assert_cmpuint (linked (&parts.entries[0], FALSE), <, AGENTS);
-  parts_close (&parts);
+    cluster.agents[i].has_work = FALSE;
+  cluster_run (&cluster, CONVERGE_MS);
+  check_agents (&cluster);
+  g_assert_cmpuint (linked (&cluster.entries[0], FALSE), <, AGENTS);
+  cluster_close (&cluster);
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/mesh/restarting-peers-are-dialled-often", test_restarting);
-  g_test_add_func ("/mesh/agents-link-to-a-part", test_parts);
-  g_test_add_func ("/mesh/lost-entries-are-replaced", test_parts_lost);
-  g_test_add_func ("/mesh/links-with-work-are-kept", test_parts_keep_work);
+  g_test_add_func ("/mesh/restarting-peers-are-dialled-often", test_restarting_peer);
+  g_test_add_func ("/mesh/agents-link-to-a-part", test_max_entries);
+  g_test_add_func ("/mesh/lost-entries-are-replaced", test_lost_entries_replaced);
+  g_test_add_func ("/mesh/links-with-work-are-kept", test_links_with_work_kept);
   return g_test_run ();
 }
--- a/tests/test-mixed.c
+++ b/tests/test-mixed.c
@@ -1,6 +1,7 @@
-/* A mixed run: jobs from all entries, waves of cancellations, bursts, a worker that fails
- * everything, jobs that can never run, and any two faults together, from one seed. At the
- * end every count must add up and everything must be back to where it began. */
+/* A mixed run from one seed: jobs from all entries, cancellations, bursts, a failing
+ * backend server, jobs that can never run, and two faults at a time. At the end all
+ * counts must add up, and queues, open files and memory must be back at their baseline.
+ */
 #include "jobs.h"
 
 #include <json-glib/json-glib.h>
@@ -10,7 +11,7 @@
 #define ROUNDS 14
 #define ENTRIES 3
 #define AGENTS 4
-/* Sockets that are still being closed, and links dialed again. */
+/* Sockets still closing and links being dialled again. */
 #define FILES_MARGIN 24
 #define MEMORY_MARGIN_KB 24000
 
@@ -19,29 +20,29 @@
   Harness *harness;
   Jobs *jobs;
   GRand *random;
-  guint impossible;
+  guint unsatisfiable;
 } Scene;
 
 typedef struct
 {
   const char *name;
-  void (*strike) (Scene *scene);
-  void (*mend) (Scene *scene);
+  void (*inject) (Scene *scene);
+  void (*repair) (Scene *scene);
 } Fault;
 
 static void
-nothing (Scene *scene)
+no_repair (Scene *scene)
 {
 }
 
 static void
-worker_fails (Scene *scene)
+server_fails (Scene *scene)
 {
   harness_fault (scene->harness, harness_backend (scene->harness, 1), "fail");
 }
 
 static void
-worker_mends (Scene *scene)
+server_recovers (Scene *scene)
 {
   harness_fault (scene->harness, harness_backend (scene->harness, 1), "ok");
 }
@@ -53,7 +54,7 @@
 }
 
 static void
-store_mends (Scene *scene)
+store_recovers (Scene *scene)
 {
   harness_fault (scene->harness, scene->harness->platform, "ok");
 }
@@ -65,7 +66,7 @@
 }
 
 static void
-agent_thaws (Scene *scene)
+agent_resumes (Scene *scene)
 {
   process_signal (harness_agent (scene->harness, 2), SIGCONT);
 }
@@ -77,7 +78,7 @@
 }
 
 static void
-agent_returns (Scene *scene)
+agent_restarts (Scene *scene)
 {
   process_restart (scene->harness, harness_agent (scene->harness, 3));
 }
@@ -89,7 +90,7 @@
 }
 
 static void
-entry_returns (Scene *scene)
+entry_restarts (Scene *scene)
 {
   process_restart (scene->harness, harness_entry (scene->harness, 2));
 }
@@ -141,15 +142,15 @@
 }
 
 static const Fault faults[] = {
-  { "worker-fails", worker_fails, worker_mends },
-  { "store-hangs", store_hangs, store_mends },
-  { "agent-freezes", agent_freezes, agent_thaws },
-  { "agent-dies", agent_dies, agent_returns },
-  { "entry-dies", entry_dies, entry_returns },
-  { "links-cut", links_cut, nothing },
-  { "links-vanish", links_vanish, nothing },
-  { "burst", burst, nothing },
-  { "cancel-wave", cancel_wave, nothing },
+  { "worker-fails", server_fails, server_recovers },
+  { "store-hangs", store_hangs, store_recovers },
+  { "agent-freezes", agent_freezes, agent_resumes },
+  { "agent-dies", agent_dies, agent_restarts },
+  { "entry-dies", entry_dies, entry_restarts },
+  { "links-cut", links_cut, no_repair },
+  { "links-vanish", links_vanish, no_repair },
+  { "burst", burst, no_repair },
+  { "cancel-wave", cancel_wave, no_repair },
 };
 
 static void
@@ -167,13 +168,13 @@
 }
 
 static void
-submit_impossible (Scene *scene)
+submit_unsatisfiable (Scene *scene)
 {
   Exchange *exchange
       = harness_post (scene->harness, harness_entry (scene->harness, 0)->http, "/v1/jobs",
                       "{\"service\":\"nowhere\",\"tasks\":[{\"payload\":\"1\"}]}");
 
-  scene->impossible += exchange->status == 422 || exchange->status == 503;
+  scene->unsatisfiable += exchange->status == 422 || exchange->status == 503;
   exchange_free (exchange);
 }
 
@@ -187,32 +188,32 @@
     second = &faults[g_rand_int_range (scene->random, 0, G_N_ELEMENTS (faults))];
   submit_some (scene);
   harness_run_ms (scene->harness, 100);
-  first->strike (scene);
-  second->strike (scene);
+  first->inject (scene);
+  second->inject (scene);
   submit_some (scene);
-  submit_impossible (scene);
+  submit_unsatisfiable (scene);
   harness_run_ms (scene->harness, (guint)g_rand_int_range (scene->random, 200, 1500));
-  first->mend (scene);
-  second->mend (scene);
+  first->repair (scene);
+  second->repair (scene);
 }
 
 typedef struct
 {
   Harness *harness;
   guint64 files[2];
-} Calm;
+} Baseline;
 
 static gboolean
-nothing_left (gpointer ctx)
+is_idle (gpointer ctx)
 {
-  const Calm *calm = ctx;
+  const Baseline *baseline = ctx;
   gboolean clean = TRUE;
 
   for (guint i = 0; i < ENTRIES && clean; i++)
     {
-      const char *entry = harness_entry (calm->harness, i)->http;
-      Exchange *teams = harness_get (calm->harness, entry, "/v1/rows/teams");
-      Exchange *jobs = harness_get (calm->harness, entry, "/v1/rows/jobs");
+      const char *entry = harness_entry (baseline->harness, i)->http;
+      Exchange *teams = harness_get (baseline->harness, entry, "/v1/rows/teams");
+      Exchange *jobs = harness_get (baseline->harness, entry, "/v1/rows/jobs");
 
       clean = strstr (jobs->body, "\"state\":\"running\"") == NULL;
       if (strstr (teams->body, "\"waiting\"") != NULL)
@@ -224,14 +225,14 @@
 }
 
 static gboolean
-files_back (gpointer ctx)
+are_files_closed (gpointer ctx)
 {
-  const Calm *calm = ctx;
+  const Baseline *baseline = ctx;
 
   for (guint i = 0; i < 2; i++)
-    if (harness_counter (calm->harness, harness_entry (calm->harness, i)->http,
+    if (harness_counter (baseline->harness, harness_entry (baseline->harness, i)->http,
                          "process_open_files")
-        > calm->files[i] + FILES_MARGIN)
+        > baseline->files[i] + FILES_MARGIN)
       return FALSE;
   return TRUE;
 }
@@ -243,7 +244,7 @@
     .entries = ENTRIES, .backends = AGENTS, .agentless = 1, .relayed_entry = "entry-1"
   };
   Scene scene = { harness_new (&init) };
-  Calm calm = { scene.harness };
+  Baseline baseline = { scene.harness };
   guint64 memory_kb[2];
   JobCounts counts;
 
@@ -255,7 +256,7 @@
     {
       const char *entry = harness_entry (scene.harness, i)->http;
 
-      calm.files[i] = harness_counter (scene.harness, entry, "process_open_files");
+      baseline.files[i] = harness_counter (scene.harness, entry, "process_open_files");
       memory_kb[i] = harness_counter (scene.harness, entry, "process_rss_kb");
     }
   for (guint round = 0; round < ROUNDS; round++)
@@ -266,9 +267,9 @@
                         + counts.broken,
                     ==, scene.jobs->list->len);
   g_assert_cmpuint (counts.complete, >, scene.jobs->list->len / 3);
-  g_assert_cmpuint (scene.impossible, ==, ROUNDS);
-  harness_wait (scene.harness, nothing_left, &calm, "queues to be empty");
-  harness_wait (scene.harness, files_back, &calm, "open files to be back");
+  g_assert_cmpuint (scene.unsatisfiable, ==, ROUNDS);
+  harness_wait (scene.harness, is_idle, &baseline, "queues to be empty");
+  harness_wait (scene.harness, are_files_closed, &baseline, "open files to be back");
   for (guint i = 0; i < 2; i++)
     g_assert_cmpuint (harness_counter (scene.harness,
                                        harness_entry (scene.harness, i)->http,
