--- a/src/mesh.h
+++ b/src/mesh.h
@@ -23,13 +23,13 @@
   PeerClock clock;
   FrameDelay receive_delay; /* delay of its frames */
   guint send_delay_ms;      /* delay of our frames, as it reports */
-  gint64 lease_until;       /* peer's clock: end of the lease it was sent */
+  gint64 lease_until;       /* peer's clock: end of the longest lease sent to it */
   gint64 lost_ms;           /* since when it is not linked */
   gint64 dead_ms;           /* own clock, when its process was found dead; 0: not */
   gboolean leaving;
   gboolean announced;     /* sent to the peers as a linked entry */
   gint64 surplus_ms;      /* since when it is beyond max_entries; 0: it is not */
-  guint64 config_version; /* that it has */
+  guint64 config_version; /* the peer's current version */
   guint64 config_sent;    /* last sent to it */
   guint64 config_wanted;  /* to be requested with the next frame; 0: none */
   gint64 config_asked_ms; /* when it was last asked for a configuration; 0: never */
