--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -120,7 +120,7 @@
 {
   LeasedAgent *agent = ctx;
 
-  memset (&peer->closures, 0, sizeof peer->closures);
+  memset (&peer->closed_zones_sent, 0, sizeof peer->closed_zones_sent);
   g_clear_pointer (&peer->data, g_free);
   runner_each_run (agent->runner, peer->incarnation, add_to_inventory, peer);
   link_send_inventory (peer->link);
@@ -151,7 +151,7 @@
 zones_changed (LeasedAgent *agent)
 {
   apply_zones (agent);
-  mesh_tell_all (agent->mesh);
+  mesh_send_all (agent->mesh);
 }
 
 static void
@@ -264,7 +264,7 @@
   gint64 now = clock_now_ms ();
 
   if (agent->ticked_ms > 0)
-    figures_note_lag (agent->stats, now - agent->ticked_ms - RUNNER_TICK_MS);
+    process_stats_note_lag (agent->stats, now - agent->ticked_ms - RUNNER_TICK_MS);
   agent->ticked_ms = now;
   if (now - agent->mesh_ticked_ms >= MESH_TICK_MS)
     {
@@ -303,7 +303,7 @@
                     .timeout_ms = settings->timeout_ms,
                     .lease_ms = settings->entry_lease_ms,
                     .forget_ms = 4 * settings->entry_lease_ms,
-                    .most_entries = MAX_ENTRIES };
+                    .max_entries = MAX_ENTRIES };
 
   agent->base = base;
   agent->ops = ops;
@@ -319,7 +319,7 @@
   agent->offer_timer = evtimer_new (base, leased_agent_expire_offers, agent);
   agent->offers = offers_new ();
   agent->closed_zones = closed_zones_new ();
-  agent->stats = figures_new (base);
+  agent->stats = process_stats_new (base);
   return agent;
 }
 
@@ -334,7 +334,7 @@
 {
   if (agent == NULL)
     return;
-  figures_free (agent->stats);
+  process_stats_free (agent->stats);
   mesh_free (agent->mesh);
   runner_free (agent->runner);
   event_free (agent->tick);
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -178,7 +178,7 @@
 {
   if (frame->time != NULL)
     dispatcher_server_clock (peer->data, frame->time->now_ms, clock_now_ms ());
-  dispatcher_server_delay (peer->data, peer->told_late_ms, clock_now_ms ());
+  dispatcher_server_delay (peer->data, peer->send_delay_ms, clock_now_ms ());
   if (frame->server_state != NULL)
     take_server_state (peer, frame->server_state);
   if (frame->n_run_reports > 0 || frame->inventory)
@@ -202,7 +202,7 @@
 {
   LeasedEntry *entry = ctx;
 
-  memset (&peer->closures, 0, sizeof peer->closures);
+  memset (&peer->closed_zones_sent, 0, sizeof peer->closed_zones_sent);
   if (!peer->is_entry)
     peer->data
         = dispatcher_server_up (entry->dispatcher, peer->incarnation, peer->name, peer);
@@ -226,7 +226,7 @@
   leased_entry_config_prepare (entry, peer, frame);
   leased_entry_zones_prepare (entry, peer, frame);
   if (!peer->is_entry && peer->data != NULL)
-    dispatcher_server_lease_extended (peer->data, peer->granted_until);
+    dispatcher_server_lease_extended (peer->data, peer->lease_until);
 }
 
 static void
@@ -271,7 +271,7 @@
   gint64 now = clock_now_ms ();
 
   if (entry->ticked_ms > 0)
-    figures_note_lag (entry->stats, now - entry->ticked_ms - TICK_MS);
+    process_stats_note_lag (entry->stats, now - entry->ticked_ms - TICK_MS);
   entry->ticked_ms = now;
   if (now - entry->mesh_ticked_ms >= MESH_TICK_MS)
     {
@@ -329,7 +329,7 @@
   entry->dispatcher = dispatcher_new (&dispatcher, &dispatcher_ops, entry);
   entry->tick = event_new (base, -1, EV_PERSIST, on_tick, entry);
   entry->pump = event_new (base, -1, 0, on_pump, entry);
-  entry->stats = figures_new (base);
+  entry->stats = process_stats_new (base);
   return entry;
 }
 
@@ -338,7 +338,7 @@
 {
   if (entry == NULL)
     return;
-  figures_free (entry->stats);
+  process_stats_free (entry->stats);
   listen_free (entry->frames);
   dispatcher_free (entry->dispatcher);
   mesh_free (entry->mesh);
--- a/tests/test-once.c
+++ b/tests/test-once.c
@@ -148,7 +148,7 @@
 static void
 inject_one_way_loss (Scene *scene)
 {
-  relay_set_mode (scene->harness->relay, RELAY_DEAF, FALSE);
+  relay_set_mode (scene->harness->relay, RELAY_DROP_REPLIES, FALSE);
 }
 
 /* An outage of the platform's table must not stop tasks. */
