--- a/tests/test-silence.c
+++ b/tests/test-silence.c
@@ -223,10 +223,10 @@
   keep.store = harness_spawn (keep.harness, "store", argv);
   store = store_new (keep.harness->base, keep.store->http, &ops, NULL);
   harness_fault (keep.harness, keep.store, "slow");
-  store_keep (store, "texts", "key", "first");
+  store_put (store, "texts", "key", "first");
   harness_run_ms (keep.harness, BEFORE_ANSWER_MS);
   g_usleep ((gulong)ANSWERED_MS * 1000); /* the answer waits in the socket */
-  store_keep (store, "texts", "key", "second");
+  store_put (store, "texts", "key", "second");
   harness_fault (keep.harness, keep.store, "ok");
   harness_wait (keep.harness, is_second_kept, &keep, "the second text");
   store_free (store);
