--- a/tests/platform_scene.c
+++ b/tests/platform_scene.c
@@ -437,7 +437,7 @@
 }
 
 guint
-platform_check_runs (PlatformScene *scene, PlatformMomentFunc each, gpointer ctx)
+platform_check_runs (PlatformScene *scene, PlatformRunFunc each, gpointer ctx)
 {
   GArray *moments = g_array_new (FALSE, TRUE, sizeof (Moment));
   guint starts = 0;
--- a/tests/platform_scene.h
+++ b/tests/platform_scene.h
@@ -5,7 +5,7 @@
 
 #define PLATFORM_HOST "claims.example"
 #define PLATFORM_PREFIX "/claims/"
-#define PLATFORM_MOST 8
+#define PLATFORM_MAX 8
 /* A job that is sent again after its entry was lost comes this much later. */
 #define PLATFORM_RESEND_MS 1300
 
@@ -15,10 +15,10 @@
   guint n_entries;
   guint n_servers;
   Process *store;
-  Process *entries[PLATFORM_MOST];
-  Process *agents[PLATFORM_MOST];
-  Process *servers[PLATFORM_MOST];
-  Relay *relays[PLATFORM_MOST]; /* before the frames of each entry, if asked for */
+  Process *entries[PLATFORM_MAX];
+  Process *agents[PLATFORM_MAX];
+  Process *servers[PLATFORM_MAX];
+  Relay *relays[PLATFORM_MAX]; /* before the frames of each entry, if asked for */
   Relay *store_relay;           /* between the store and the last entry, if asked for */
   RelayLine *line;              /* of the last entry, towards it; NULL: no limit */
   guint jobs;
@@ -85,7 +85,7 @@
 /** platform_is_ready - a condition: a job of many tasks is served now. */
 gboolean platform_is_ready (gpointer scene);
 
-typedef void (*PlatformMomentFunc) (gboolean starts,
+typedef void (*PlatformRunFunc) (gboolean starts,
                                     const char *task,
                                     const char *how,
                                     gpointer ctx);
@@ -96,4 +96,4 @@
  *
  * Return: how many runs began.
  */
-guint platform_check_runs (PlatformScene *scene, PlatformMomentFunc each, gpointer ctx);
+guint platform_check_runs (PlatformScene *scene, PlatformRunFunc each, gpointer ctx);
--- a/tests/soak_faults.c
+++ b/tests/soak_faults.c
@@ -271,7 +271,7 @@
 soak_mend (Soak *soak, gboolean all)
 {
   for (guint place = 0; place < PLACES; place++)
-    for (guint target = 0; target < PLATFORM_MOST; target++)
+    for (guint target = 0; target < PLATFORM_MAX; target++)
       {
         Struck *struck = &soak->struck[place][target];
 
--- a/tests/soak_parts.h
+++ b/tests/soak_parts.h
@@ -47,8 +47,8 @@
 {
   PlatformScene scene;
   GRand *random;
-  Struck struck[PLACES][PLATFORM_MOST];
-  gboolean down[PLATFORM_MOST]; /* entries that take no calls now */
+  Struck struck[PLACES][PLATFORM_MAX];
+  gboolean down[PLATFORM_MAX]; /* entries that take no calls now */
   GPtrArray *requests;
   GHashTable *starts; /* job -> number of starts */
   GHashTable *done;   /* task -> itself */
--- a/tests/test-soak.c
+++ b/tests/test-soak.c
@@ -319,7 +319,7 @@
   g_option_context_add_main_entries (context, entries, NULL);
   g_option_context_set_ignore_unknown_options (context, TRUE);
   if (!g_option_context_parse (context, &argc, &argv, NULL)
-      || option_entries > PLATFORM_MOST || option_servers > PLATFORM_MOST)
+      || option_entries > PLATFORM_MAX || option_servers > PLATFORM_MAX)
     return EXIT_FAILURE;
   g_option_context_free (context);
   g_test_init (&argc, &argv, NULL);
--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -143,7 +143,7 @@
 static void
 freeze_asked (PlatformScene *scene)
 {
-  SpreadPeer peers[PLATFORM_MOST];
+  SpreadPeer peers[PLATFORM_MAX];
   guint n = scene->n_entries - 1;
 
   for (guint i = 0; i < n; i++)
