--- a/tests/test-decoders.c
+++ b/tests/test-decoders.c
@@ -1,4 +1,5 @@
-/* Rows, reports and bodies from other hands, into the platform's real decoders. */
+/* The platform's decoders with valid and malformed rows, heartbeats, jobs and
+ * configurations. */
 #include "../platform/job_body.h"
 #include "../platform/operator_config.h"
 #include "../platform/server_rows.h"
@@ -20,10 +21,9 @@
   gboolean good;
 } BodyCase;
 
-/* Symptom: all tasks of a server end, and nothing is placed there any more.
- * Sequence: a report with an unknown id, without capacity or with a state that is not
- *   named, reaches its agent; the agent takes it for a new life of its server.
- * Cause: what was missing or of another type was read as zero, false or empty. */
+/* Missing or mistyped members were read as 0, false or empty. So the agent took a report
+ * with an unknown id, without capacity or with an unknown state for a new instance of its
+ * server: all its tasks ended, and nothing was placed there any more. */
 static const BodyCase reports[] = {
   { "good", "{" GOOD_SERVICE "," READY "," GOOD_CAPACITY "," GOOD_REST "}", TRUE },
   { "draining",
@@ -111,12 +111,12 @@
 {
   const char *name;
   const char *rows;
-  guint running; /* good rows, read as a list of runs */
-  guint ended;   /* and as a list of ends */
+  guint running; /* rows accepted as running */
+  guint ended;   /* rows accepted as ended */
 } RowsCase;
 
-/* Symptom: an agent ends with a signal. Sequence: a row of an answer has a number where
- * its end is named. Cause: the row was compared as a text. */
+/* An agent crashed on a row with a number in place of the end's name: the member was
+ * compared as a string unchecked. */
 static const RowsCase rows[] = {
   { "empty", "[]", 0, 0 },
   { "running", "[[\"aa.0.0.1\",1,\"\",5],[\"aa.0.0.2\",1,\"\",100]]", 2, 0 },
@@ -243,7 +243,7 @@
 }
 
 static guint
-bounded (JsonObject *object, const char *name)
+clamped_int (JsonObject *object, const char *name)
 {
   return (guint)CLAMP (json_int (object, name), 0, G_MAXINT32);
 }
@@ -255,16 +255,16 @@
   g_assert_cmpstr (queue->host, ==, json_text (route, "host"));
   g_assert_cmpstr (queue->prefix, ==, json_text (route, "prefix"));
   g_assert_cmpstr (queue->service, ==, json_text (route, "service"));
-  g_assert_cmpuint (queue->priority, ==, bounded (route, "priority"));
-  g_assert_cmpuint (queue->max_attempts, ==, bounded (route, "max_attempts"));
-  g_assert_cmpuint (queue->target_ms, ==, bounded (route, "target_latency_ms"));
+  g_assert_cmpuint (queue->priority, ==, clamped_int (route, "priority"));
+  g_assert_cmpuint (queue->max_attempts, ==, clamped_int (route, "max_attempts"));
+  g_assert_cmpuint (queue->target_ms, ==, clamped_int (route, "target_latency_ms"));
   g_assert_cmpfloat (queue->stretch, ==, json_double (route, "stretch"));
   g_assert_cmpint (queue->needs_advice, ==, json_object_at (route, "advice") != NULL);
 }
 
-/* What the reader makes of a text is what its tree says. */
+/* Parsing in one pass must agree with parsing into a tree. */
 static void
-assert_as_tree (const char *text)
+assert_matches_tree (const char *text)
 {
   JsonNode *root;
   JsonObject *body = json_parse_object (text, strlen (text), &root);
@@ -304,7 +304,7 @@
   GRand *random = g_rand_new_with_seed (11);
 
   for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
-    assert_as_tree (texts[i]);
+    assert_matches_tree (texts[i]);
   for (guint i = 0; i < MUTATIONS; i++)
     {
       char *text = g_strdup (good);
@@ -312,17 +312,16 @@
       for (guint j = 0; j < MUTATED_BYTES; j++)
         text[g_rand_int_range (random, 0, (gint32)strlen (good))]
             = "{}[],:\"0e"[g_rand_int_range (random, 0, 9)];
-      assert_as_tree (text);
+      assert_matches_tree (text);
       g_free (text);
     }
   g_rand_free (random);
   g_free (good);
 }
 
-/* Symptom: entries lose their leases, and callers their answers, whenever an operator
- * adds some hundred routes. Sequence: a small entry reads the text in one turn of its
- * loop and stands still for nearly half a second. Cause: a tree of nodes was built for
- * what is looked at once. */
+/* Building a tree of nodes blocked a small entry's event loop for nearly half a second
+ * whenever an operator added some hundred routes: the entry lost its leases and its
+ * callers got no answer. */
 static void
 test_config_without_a_tree (void)
 {
@@ -344,9 +343,8 @@
   g_free (text);
 }
 
-/* Symptom: a process ends with a signal. Sequence: a body of some 100 kB is a list in a
- * list and so on. Cause: the parser calls itself for each level until its stack is full.
- */
+/* A body of some 100 kB of nested lists crashed the process: the parser recursed for each
+ * level until the stack overflowed. */
 static void
 test_deep_body (void)
 {
