--- a/tests/platform_scene.c
+++ b/tests/platform_scene.c
@@ -104,10 +104,10 @@
              : scene->store->http;
 }
 
-/* The others dial the last entry, not it them, so that all that it is sent comes over its
- * line. */
+/* With a line the other entries dial the last one, never the reverse, so that everything
+ * sent to it goes over the line. */
 static gboolean
-is_only_dialling (const PlatformScene *scene, guint entry)
+only_dials (const PlatformScene *scene, guint entry)
 {
   return scene->line != NULL && entry < scene->n_entries - 1;
 }
@@ -128,7 +128,7 @@
   Process *process
       = harness_spawn_daemon (scene->harness, PLATFORM_ENTRY_EXE, name, settings);
 
-  if (scene->relays[i] != NULL && !is_only_dialling (scene, i))
+  if (scene->relays[i] != NULL && !only_dials (scene, i))
     relay_set_target (scene->relays[i], process->frames);
   g_free (settings);
   g_free (name);
@@ -263,9 +263,9 @@
     relay_set_line (relay, RELAY_TO_TARGET, scene->line);
 }
 
-/* Behind a line: the last entry and those that have started, in quotes. */
+/* With a line: the last entry and those already started, each quoted. */
 static char *
-peers_of (const PlatformScene *scene, guint entry)
+format_peers (const PlatformScene *scene, guint entry)
 {
   GString *peers = g_string_new (NULL);
 
@@ -298,7 +298,7 @@
     add_line (scene, init->line_bytes_per_s);
   for (guint i = 0; i < init->entries; i++)
     {
-      char *peers = peers_of (scene, i);
+      char *peers = format_peers (scene, i);
 
       scene->entries[i] = platform_start_entry (scene, i, peers);
       g_free (peers);
@@ -339,45 +339,45 @@
   harness_free (scene->harness);
 }
 
-/* What the back ends ran. */
+/* What the backend servers ran. */
 
 typedef struct
 {
   gint64 at_ms;
   gboolean starts;
   guint server;
-  guint line; /* of its server's log */
+  guint line; /* in its server's log */
   char *task;
   char *how;
   char *run;
-} Moment;
+} RunEvent;
 
 static void
-moment_clear (gpointer data)
+run_event_clear (gpointer data)
 {
-  Moment *moment = data;
+  RunEvent *event = data;
 
-  g_free (moment->task);
-  g_free (moment->how);
-  g_free (moment->run);
+  g_free (event->task);
+  g_free (event->how);
+  g_free (event->run);
 }
 
 static int
-compare_moments (gconstpointer a, gconstpointer b)
+compare_run_events (gconstpointer a, gconstpointer b)
 {
-  const Moment *left = a;
-  const Moment *right = b;
+  const RunEvent *left = a;
+  const RunEvent *right = b;
 
   if (left->at_ms != right->at_ms)
     return left->at_ms < right->at_ms ? -1 : 1;
-  /* One server's log is in order; between two the end is taken to come first. */
+  /* One server's log is in order; between servers, ends sort before starts. */
   if (left->server == right->server)
     return left->line < right->line ? -1 : 1;
   return left->starts - right->starts;
 }
 
 static void
-add_moments (PlatformScene *scene, guint i, GArray *moments)
+add_run_events (PlatformScene *scene, guint i, GArray *events)
 {
   Exchange *exchange = harness_get (scene->harness, scene->servers[i]->http, "/runs");
   char **lines = g_strsplit (exchange->body, "\n", -1);
@@ -385,16 +385,16 @@
   for (char **line = lines; *line != NULL && **line != '\0'; line++)
     {
       char **words = g_strsplit (*line, " ", 4);
-      Moment moment = { .at_ms = g_ascii_strtoll (words[1], NULL, 10),
-                        .starts = strcmp (words[0], "start") == 0,
-                        .server = i,
-                        .line = (guint)(line - lines),
-                        .task = g_strdup (words[2]),
-                        .how = g_strdup (words[0]),
-                        .run = g_strdup (words[3]) };
+      RunEvent event = { .at_ms = g_ascii_strtoll (words[1], NULL, 10),
+                         .starts = strcmp (words[0], "start") == 0,
+                         .server = i,
+                         .line = (guint)(line - lines),
+                         .task = g_strdup (words[2]),
+                         .how = g_strdup (words[0]),
+                         .run = g_strdup (words[3]) };
 
       g_assert_cmpstr (words[0], !=, "OVER-CAPACITY");
-      g_array_append_val (moments, moment);
+      g_array_append_val (events, event);
       g_strfreev (words);
     }
   g_strfreev (lines);
@@ -402,36 +402,36 @@
 }
 
 static void
-tell_moments (const GArray *moments, const char *task)
+print_run_events (const GArray *events, const char *task)
 {
-  for (guint i = 0; i < moments->len; i++)
+  for (guint i = 0; i < events->len; i++)
     {
-      const Moment *moment = &g_array_index (moments, Moment, i);
+      const RunEvent *event = &g_array_index (events, RunEvent, i);
 
-      if (strcmp (moment->task, task) == 0)
+      if (strcmp (event->task, task) == 0)
         g_printerr ("%s %s at %" G_GINT64_FORMAT " on server %u, run %s\n", task,
-                    moment->how, moment->at_ms, moment->server, moment->run);
+                    event->how, event->at_ms, event->server, event->run);
     }
 }
 
 static void
-check_moments (const GArray *moments)
+check_overlap (const GArray *events)
 {
   GHashTable *running = g_hash_table_new (g_str_hash, g_str_equal);
 
-  for (guint i = 0; i < moments->len; i++)
+  for (guint i = 0; i < events->len; i++)
     {
-      const Moment *moment = &g_array_index (moments, Moment, i);
+      const RunEvent *event = &g_array_index (events, RunEvent, i);
 
-      if (!moment->starts)
+      if (!event->starts)
         {
-          g_hash_table_remove (running, moment->task);
+          g_hash_table_remove (running, event->task);
           continue;
         }
-      if (g_hash_table_add (running, moment->task))
+      if (g_hash_table_add (running, event->task))
         continue;
-      tell_moments (moments, moment->task);
-      g_error ("two runs of %s at once", moment->task);
+      print_run_events (events, event->task);
+      g_error ("two runs of %s at once", event->task);
     }
   g_hash_table_unref (running);
 }
@@ -439,40 +439,40 @@
 guint
 platform_check_runs (PlatformScene *scene, PlatformRunFunc each, gpointer ctx)
 {
-  GArray *moments = g_array_new (FALSE, TRUE, sizeof (Moment));
+  GArray *events = g_array_new (FALSE, TRUE, sizeof (RunEvent));
   guint starts = 0;
 
-  g_array_set_clear_func (moments, moment_clear);
+  g_array_set_clear_func (events, run_event_clear);
   for (guint i = 0; i < scene->n_servers; i++)
-    add_moments (scene, i, moments);
-  g_array_sort (moments, compare_moments);
-  check_moments (moments);
-  for (guint i = 0; i < moments->len; i++)
+    add_run_events (scene, i, events);
+  g_array_sort (events, compare_run_events);
+  check_overlap (events);
+  for (guint i = 0; i < events->len; i++)
     {
-      const Moment *moment = &g_array_index (moments, Moment, i);
+      const RunEvent *event = &g_array_index (events, RunEvent, i);
 
-      starts += moment->starts;
+      starts += event->starts;
       if (each != NULL)
-        each (moment->starts, moment->task, moment->how, ctx);
+        each (event->starts, event->task, event->how, ctx);
     }
-  g_array_unref (moments);
+  g_array_unref (events);
   return starts;
 }
 
 guint
 platform_starts (PlatformScene *scene, guint server, gint64 from_ms, gint64 until_ms)
 {
-  GArray *moments = g_array_new (FALSE, TRUE, sizeof (Moment));
+  GArray *events = g_array_new (FALSE, TRUE, sizeof (RunEvent));
   guint starts = 0;
 
-  g_array_set_clear_func (moments, moment_clear);
-  add_moments (scene, server, moments);
-  for (guint i = 0; i < moments->len; i++)
+  g_array_set_clear_func (events, run_event_clear);
+  add_run_events (scene, server, events);
+  for (guint i = 0; i < events->len; i++)
     {
-      const Moment *moment = &g_array_index (moments, Moment, i);
+      const RunEvent *event = &g_array_index (events, RunEvent, i);
 
-      starts += moment->starts && moment->at_ms >= from_ms && moment->at_ms < until_ms;
+      starts += event->starts && event->at_ms >= from_ms && event->at_ms < until_ms;
     }
-  g_array_unref (moments);
+  g_array_unref (events);
   return starts;
 }
--- a/tests/platform_scene.h
+++ b/tests/platform_scene.h
@@ -1,12 +1,12 @@
 #pragma once
-/* The programs for the users' platform, as real processes among stand-ins that speak its
- * published protocols: a store, back ends and the operator. */
+/* Test fixture: the platform's daemons as real processes, and stand-ins (fakes) of the
+ * store, the backend servers and the operator that speak the platform's protocols. */
 #include "harness.h"
 
 #define PLATFORM_HOST "claims.example"
 #define PLATFORM_PREFIX "/claims/"
 #define PLATFORM_MAX 8
-/* A job that is sent again after its entry was lost comes this much later. */
+/* A caller resends its job this long after its entry was lost. */
 #define PLATFORM_RESEND_MS 1300
 
 typedef struct
@@ -18,9 +18,9 @@
   Process *entries[PLATFORM_MAX];
   Process *agents[PLATFORM_MAX];
   Process *servers[PLATFORM_MAX];
-  Relay *relays[PLATFORM_MAX]; /* before the frames of each entry, if asked for */
-  Relay *store_relay;           /* between the store and the last entry, if asked for */
-  RelayLine *line;              /* of the last entry, towards it; NULL: no limit */
+  Relay *relays[PLATFORM_MAX]; /* fault proxies for the entries' frames, or NULL */
+  Relay *store_relay;          /* between the last entry and the store, or NULL */
+  RelayLine *line;             /* limits what the last entry receives, or NULL */
   guint jobs;
   guint version;
 } PlatformScene;
@@ -31,50 +31,48 @@
   guint servers;
   gboolean relayed;
   gboolean configured;
-  guint zones;            /* that the servers stand in by turns: z0, z1, ...; 0: one, z */
-  guint line_bytes_per_s; /* the last entry's link, store and peers together; 0: none */
+  guint zones;            /* servers are spread over z0, z1, ...; 0: all in z */
+  guint line_bytes_per_s; /* limit of what the last entry receives in total; 0: none */
 } PlatformInit;
 
 void platform_scene_open (PlatformScene *scene, const PlatformInit *init);
 void platform_scene_close (PlatformScene *scene);
 
-/** platform_put_config - the operator writes the next version, with one queue. */
+/** platform_put_config - write the next configuration version, with one queue. */
 void platform_put_config (PlatformScene *scene, const char *prefix);
 
-/** platform_put_routes - the same with @routes more that nobody calls. */
+/** platform_put_routes - the same with @routes further, unused queues. */
 void platform_put_routes (PlatformScene *scene, const char *prefix, guint routes);
 
-/** platform_put_zone - the operator asks to close an availability zone; @value: of the
- * row. */
+/** platform_put_zone - write the row that closes an availability zone, with @value. */
 void platform_put_zone (PlatformScene *scene, const char *zone, const char *value);
 
-/** platform_close_zone - and to open it again. */
 void platform_close_zone (PlatformScene *scene, const char *zone);
 void platform_open_zone (PlatformScene *scene, const char *zone);
 
-/** platform_starts - starts on a server from then until then. */
+/** platform_starts - number of starts on a server in [@from_ms, @until_ms). */
 guint
 platform_starts (PlatformScene *scene, guint server, gint64 from_ms, gint64 until_ms);
 
-/** platform_start_entry - @peers: quoted addresses of others, separated by commas. */
+/** platform_start_entry - @peers: quoted addresses of other entries, comma-separated. */
 Process *platform_start_entry (PlatformScene *scene, guint i, const char *peers);
 Process *platform_start_agent (PlatformScene *scene, guint i);
 
-/** platform_introduce - tell a back end where its agent listens. */
+/** platform_introduce - tell a backend server where its agent listens. */
 void platform_introduce (PlatformScene *scene, guint i);
 
-/** platform_restart_entry - start an entry again that has ended. */
+/** platform_restart_entry - restart an entry that has exited. */
 void platform_restart_entry (PlatformScene *scene, guint i);
 void platform_restart_agent (PlatformScene *scene, guint i);
 
-/** platform_serves - whether the last entry knows the queue of that prefix. */
+/** platform_serves - whether the last entry has a queue with @prefix. */
 gboolean platform_serves (const PlatformScene *scene, const char *prefix);
 gboolean platform_serves_at (const PlatformScene *scene, guint entry, const char *prefix);
 
-/** platform_job - the body of a job. Free with g_free. */
+/** platform_job - Return: the body of a job; free with g_free (). */
 char *platform_job (const char *spec, guint tasks);
 
-/** platform_call - send that body as job @number to an entry. */
+/** platform_call - send @body as job @number to an entry. */
 Exchange *
 platform_call (PlatformScene *scene, guint entry, guint number, const char *body);
 
@@ -82,18 +80,19 @@
 Exchange *
 platform_start_job (PlatformScene *scene, guint entry, const char *spec, guint tasks);
 
-/** platform_is_ready - a condition: a job of many tasks is served now. */
+/** platform_is_ready - for harness_wait (): whether a job of many tasks completes now. */
 gboolean platform_is_ready (gpointer scene);
 
 typedef void (*PlatformRunFunc) (gboolean starts,
-                                    const char *task,
-                                    const char *how,
-                                    gpointer ctx);
+                                 const char *task,
+                                 const char *how,
+                                 gpointer ctx);
 
 /**
- * platform_check_runs - no task ran twice at once, no server over its capacity.
- * @each: is told of every start and end in the order of time; may be NULL.
+ * platform_check_runs - assert that no task ran twice at once and no server exceeded its
+ * capacity.
+ * @each: called for every start and end in order of time; may be NULL.
  *
- * Return: how many runs began.
+ * Return: number of starts.
  */
 guint platform_check_runs (PlatformScene *scene, PlatformRunFunc each, gpointer ctx);
--- a/tests/test-platform.c
+++ b/tests/test-platform.c
@@ -1,11 +1,11 @@
-/* The programs for the users' platform among stand-ins: one sequence a case. */
+/* The platform's daemons among stand-ins, one sequence of events per case. */
 #include "cases.h"
 #include "explain.h"
 #include "platform_scene.h"
 
 #include <string.h>
 
-/* Event lines leave a process every 100 ms. */
+/* A process writes its event lines every 100 ms. */
 #define EVENTS_FLUSHED_MS 250
 
 static const PlatformInit configured = { .entries = 2, .servers = 2, .configured = TRUE };
@@ -142,9 +142,8 @@
                 "the configuration after lost history");
 }
 
-/* Symptom: callers of a restarted entry are refused while the store is down.
- * Sequence: the store stops answering, an entry is killed and starts again.
- * Cause: the configuration known only from the store. */
+/* A restarted entry refused its callers while the store was down, the only source of the
+ * configuration. */
 static void
 configuration_comes_from_the_other_entry (PlatformScene *scene)
 {
@@ -172,9 +171,8 @@
   expect (scene, exchange, 200, "completed");
 }
 
-/* Symptom: a job runs twice at once.
- * Sequence: its entry is killed; the caller sends it to another entry 1.3 s later.
- * Cause: the agents let the first runs go on. */
+/* A job ran twice at once: its entry was killed, the caller resent it to another entry
+ * 1.3 s later, and the agents had not stopped the first runs. */
 static void
 killed_entry_leaves_nothing_running (PlatformScene *scene)
 {
@@ -211,9 +209,8 @@
   harness_fault (scene->harness, scene->servers[0], "ok");
 }
 
-/* Symptom: a task runs twice at once, two seconds after the first start.
- * Sequence: a start is not answered and carried out late.
- * Cause: the agent gives it up without a proof. */
+/* A task ran twice at once, two seconds apart: the agent gave up an unanswered start
+ * without proof that it could not run any more, and the server executed it late. */
 static void
 late_orders_are_harmless (PlatformScene *scene)
 {
@@ -251,9 +248,8 @@
   g_free (text);
 }
 
-/* Symptom: an orderly end stands six times in the log.
- * Sequence: the process waits for its last frames to leave; its ticks go on.
- * Cause: each tick found it ended anew. */
+/* An orderly end was logged six times: while the process flushed its last frames, each
+ * tick found it ended anew. */
 static void
 expect_one_stop (const Process *process)
 {
@@ -269,9 +265,8 @@
   g_free (path);
 }
 
-/* Symptom: a rolling restart cuts callers off.
- * Sequence: an entry gets SIGTERM while it holds an open job.
- * Cause: it ends before the answer. */
+/* A rolling restart cut callers off: on SIGTERM an entry with an open job exited before
+ * the response. */
 static void
 terminated_entry_answers_first (PlatformScene *scene)
 {
@@ -307,7 +302,7 @@
   expect_completed (scene, 0, "50", 8);
 }
 
-/* The caller closes its connection: its job is stopped. */
+/* The job of a caller that closes its connection is stopped. */
 static void
 abandoned_job_is_stopped (PlatformScene *scene)
 {
@@ -326,7 +321,7 @@
   g_free (body);
 }
 
-/* Explanations. */
+/* Request traces. */
 
 static void
 add_events (Explain *explain, const Process *process)
@@ -337,25 +332,24 @@
   g_free (path);
 }
 
-/* The last job's story names each of these, as an on-call engineer would look for them.
- */
+/* The last job's trace has each of @parts, which an on-call engineer would search for. */
 static void
-expect_story (PlatformScene *scene, const char *const *parts)
+expect_trace (PlatformScene *scene, const char *const *parts)
 {
   char *job = g_strdup_printf ("%016x", scene->jobs);
   Explain *explain = explain_new (job);
-  char *story;
+  char *trace;
 
   harness_run_ms (scene->harness, EVENTS_FLUSHED_MS);
   for (guint i = 0; i < scene->n_entries; i++)
     add_events (explain, scene->entries[i]);
   for (guint i = 0; i < scene->n_servers; i++)
     add_events (explain, scene->agents[i]);
-  story = explain_tell (explain);
+  trace = explain_tell (explain);
   for (; *parts != NULL; parts++)
-    if (strstr (story, *parts) == NULL)
-      g_error ("no \"%s\" in the story of %s:\n%s", *parts, job, story);
-  g_free (story);
+    if (strstr (trace, *parts) == NULL)
+      g_error ("no \"%s\" in the trace of %s:\n%s", *parts, job, trace);
+  g_free (trace);
   explain_free (explain);
   g_free (job);
 }
@@ -373,7 +367,7 @@
 
   harness_wait (scene->harness, last_job_started, scene, "a start");
   expect (scene, platform_start_job (scene, 0, "1500", 40), 503, NULL);
-  expect_story (scene, parts);
+  expect_trace (scene, parts);
   expect (scene, longs, 200, "completed");
 }
 
@@ -390,7 +384,7 @@
   exchange = platform_start_job (scene, 0, "200", 4);
   expect (scene, exchange, 200, "completed");
   harness_fault (scene->harness, scene->servers[0], "ok");
-  expect_story (scene, parts);
+  expect_trace (scene, parts);
 }
 
 static void
@@ -405,7 +399,7 @@
   process_kill (scene->harness, scene->agents[0]);
   platform_restart_agent (scene, 0);
   expect (scene, exchange, 200, "completed");
-  expect_story (scene, parts);
+  expect_trace (scene, parts);
 }
 
 typedef struct
@@ -414,10 +408,9 @@
   void (*play) (PlatformScene *scene);
 } Case;
 
-/* Symptom: all tasks of a server end, or a process does, while jobs are served.
- * Sequence: reports and rows that no back end or entry of ours wrote reach an agent and
- *   the store: fields missing, of another type, states without a name, bytes.
- * Cause: what was missing was read as zero or empty; an unknown id was a new life. */
+/* Malformed reports to an agent and rows in the store ended all tasks of a server or
+ * crashed a process: missing members were read as 0 or empty, an unknown id as a new
+ * instance. */
 static void
 bad_writers_change_nothing (PlatformScene *scene)
 {
@@ -499,7 +492,7 @@
   platform_scene_close (&scene);
 }
 
-/* Before the first configuration nothing is accepted, and the balancer is told so. */
+/* Before the first configuration no job is accepted and the entry is not ready. */
 static void
 test_no_configuration (void)
 {
