--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -1,42 +1,40 @@
-/* How a configuration reaches every entry: the programs for the users' platform, the last
- * entry behind a line of its own that carries little.
+/* Propagation of a configuration to all entries, the last one behind a slow link.
  *
- * What happened: an operator added 1,400 routes three times. Versions that the store had
- * confirmed were not in force at entries with a link of 25 Mbit/s more than 3 s later,
- * callers there were answered by older ones or not at all, and in the end every large
- * entry was ended for its memory. Two causes fed each other. Entries answered each
- * heartbeat of an entry that had an older version with the whole configuration, also
- * while a copy was under way: 272 MB from one entry in 15 s, where 14 MB were needed
- * ("bytes_sent"), and what the link did not carry waited in the sender's memory (1 to
- * 245 MB, "process_rss_kb"), with every later version behind it. And reads of the store
- * were ended 0.8 s after they began, however much had come, and begun anew: 1 in 55 s was
- * whole ("table_reads"), 40 were not ("table_errors"). */
+ * Guards against a failure with large configurations, 1,400 routes added three times:
+ * entries with a link of 25 Mbit/s got a version more than 3 s after the store confirmed
+ * it, callers got old routes or no response, and large entries were killed for their
+ * memory use. Two causes reinforced each other. Entries sent the whole configuration in
+ * reply to each heartbeat with an older version, even with a copy in flight: 272 MB from
+ * one entry in 15 s where 14 MB were needed ("bytes_sent"), and 1 to 245 MB queued in the
+ * sender's memory ("process_rss_kb") ahead of later versions. And reads of the store
+ * timed out 0.8 s after their start, whatever had arrived: in 55 s, 1 succeeded
+ * ("table_reads") and 40 failed ("table_errors"). */
 #include "cases.h"
 #include "clock.h"
 #include "platform_scene.h"
 #include "spread.h"
 
-/* 300 kB of configuration, 400 kB in the store's encoding. */
+/* 300 kB, or 400 kB in the store's encoding. */
 #define ROUTES 1600
-/* The slow line takes 0.4 s for one such answer of the store, nothing else on it. */
+/* Such a response of the store takes the slow line 0.4 s if nothing else uses it. */
 #define LINE_BYTES_PER_S 1000000
 /* 1.2 MB in the store's encoding take the slower line 1.7 s. */
 #define MANY_ROUTES 4800
 #define SLOWER_BYTES_PER_S 700000
-/* The operator's aim: a confirmed version is in force everywhere this much later. */
+/* Target: a confirmed version is in force everywhere after this time. */
 #define APPLIED_MS 3000
-/* The others' next frames say which version they have. */
-#define TOLD_MS 150
+/* By then the other entries have sent a frame with their new version. */
+#define VERSION_SENT_MS 150
 #define FROZEN 2
-/* The aim for an entry whose store and first choices of peers are silent. */
+/* Target if the store and the first peers chosen are unresponsive. */
 #define FROZEN_PEERS_MS 2000
-/* What the stand-in adds to each answer when it is slow. */
+/* Delay of each response of the store stand-in with the fault "slow". */
 #define SLOW_STORE_MS 1000
-/* Entries that know of no other look each other up in the store after 0.7 s. */
+/* Entries without peers look each other up in the store after 0.7 s. */
 #define LINKED_MS 2500
-/* The aim is one copy of a version for each entry; one more if a source falls silent. An
- * entry that starts may have asked for the first one: counted from the case's begin. */
-#define COPIES_MOST ((guint64)2)
+/* Target: one copy of a version for each entry, one more if a source stops responding.
+ * Counted from the start of the case, since a starting entry may have fetched one. */
+#define MAX_COPIES ((guint64)2)
 
 static gboolean
 first_is_in_force (gpointer ctx)
@@ -51,7 +49,7 @@
 }
 
 static guint64
-sum (PlatformScene *scene, const char *counter)
+sum_counter (PlatformScene *scene, const char *counter)
 {
   guint64 all = 0;
 
@@ -65,7 +63,7 @@
 static void
 two_versions_in_a_row (PlatformScene *scene)
 {
-  guint64 copies = sum (scene, "config_frames");
+  guint64 copies = sum_counter (scene, "config_frames");
   gint64 confirmed_ms;
 
   platform_put_routes (scene, "/first/", ROUTES);
@@ -73,11 +71,12 @@
   platform_put_routes (scene, "/second/", ROUTES);
   confirmed_ms = clock_now_ms ();
   harness_wait (scene->harness, second_is_in_force, scene, "the second version");
-  g_test_message ("%" G_GUINT64_FORMAT " copies, %" G_GUINT64_FORMAT " of no use",
-                  sum (scene, "config_frames"), sum (scene, "config_stale"));
+  g_test_message ("%" G_GUINT64_FORMAT " copies, %" G_GUINT64_FORMAT " of them stale",
+                  sum_counter (scene, "config_frames"),
+                  sum_counter (scene, "config_stale"));
   harness_assert_within (confirmed_ms, APPLIED_MS);
-  g_assert_cmpuint (sum (scene, "config_frames") - copies, <=,
-                    2 * COPIES_MOST * scene->n_entries);
+  g_assert_cmpuint (sum_counter (scene, "config_frames") - copies, <=,
+                    2 * MAX_COPIES * scene->n_entries);
 }
 
 static void
@@ -91,8 +90,8 @@
   harness_assert_within (confirmed_ms, APPLIED_MS);
 }
 
-/* A process that starts knows nothing and reads the whole row from a store that answers
- * each call a second late. */
+/* A restarted entry reads the configuration from a store that delays each response by a
+ * second. */
 static void
 slow_store (PlatformScene *scene)
 {
@@ -108,10 +107,9 @@
   harness_assert_within (started_ms, APPLIED_MS + SLOW_STORE_MS);
 }
 
-/* Symptom: callers of an entry that has just started are refused, though it could serve
- *   them a second later.
- * Sequence: it is killed and starts again; its configuration takes the line 1.7 s. Cause:
- * who came before the configuration waited 0.5 s, whether it was arriving or not. */
+/* A restarted entry refused callers that it could have served a second later: requests
+ * waited only 0.5 s for the configuration, although it was arriving; it takes the line
+ * 1.7 s. */
 static void
 restart_with_a_large_version (PlatformScene *scene)
 {
@@ -122,11 +120,11 @@
   g_assert_true (first_is_in_force (scene));
 }
 
-/* The store answers all but the last entry, whose connections to it are silent. */
+/* The last entry gets no response from the store; the other entries do. */
 static void
 store_out_of_reach (PlatformScene *scene)
 {
-  guint64 copies = sum (scene, "config_frames");
+  guint64 copies = sum_counter (scene, "config_frames");
   gint64 confirmed_ms;
 
   relay_set_mode (scene->store_relay, RELAY_VANISH, TRUE);
@@ -136,12 +134,12 @@
   confirmed_ms = clock_now_ms ();
   harness_wait (scene->harness, second_is_in_force, scene, "the second version");
   harness_assert_within (confirmed_ms, APPLIED_MS);
-  g_assert_cmpuint (sum (scene, "config_frames") - copies, <=, 2 * COPIES_MOST);
+  g_assert_cmpuint (sum_counter (scene, "config_frames") - copies, <=, 2 * MAX_COPIES);
 }
 
-/* Stop those of the others that the last entry asks first. */
+/* Stops the peers that the last entry asks first. */
 static void
-freeze_asked (PlatformScene *scene)
+freeze_first_choices (PlatformScene *scene)
 {
   SpreadPeer peers[PLATFORM_MAX];
   guint n = scene->n_entries - 1;
@@ -158,17 +156,17 @@
 }
 
 static void
-wake_all (PlatformScene *scene)
+resume_all (PlatformScene *scene)
 {
   for (guint i = 0; i < scene->n_entries; i++)
     process_signal (scene->entries[i], SIGCONT);
 }
 
-/* An entry that the store is silent to asks peers that have just frozen. */
+/* An entry without a response from the store asks peers that have just been stopped. */
 static void
 asked_peers_freeze (PlatformScene *scene)
 {
-  guint64 copies = sum (scene, "config_frames");
+  guint64 copies = sum_counter (scene, "config_frames");
   gint64 confirmed_ms;
 
   platform_put_config (scene, "/first/");
@@ -176,12 +174,13 @@
   relay_set_mode (scene->store_relay, RELAY_VANISH, TRUE);
   platform_put_config (scene, "/second/");
   confirmed_ms = clock_now_ms ();
-  harness_run_ms (scene->harness, TOLD_MS);
-  freeze_asked (scene);
+  harness_run_ms (scene->harness, VERSION_SENT_MS);
+  freeze_first_choices (scene);
   harness_wait (scene->harness, second_is_in_force, scene, "the second version");
   harness_assert_within (confirmed_ms, FROZEN_PEERS_MS);
-  wake_all (scene);
-  g_assert_cmpuint (sum (scene, "config_frames") - copies, <=, FROZEN + COPIES_MOST);
+  resume_all (scene);
+  g_assert_cmpuint (sum_counter (scene, "config_frames") - copies, <=,
+                    FROZEN + MAX_COPIES);
 }
 
 typedef struct
