--- a/src/holder_outcomes.c
+++ b/src/holder_outcomes.c
@@ -186,7 +186,7 @@
 {
   const Fleet *fleet = holder->ops->fleet (holder->ctx);
 
-  return rendezvous_group_stands (part->group,
+  return rendezvous_group_exists (part->group,
                                   fleet_service (fleet, part->service)->groups);
 }
 
--- a/src/home_grants.c
+++ b/src/home_grants.c
@@ -87,7 +87,7 @@
   const Home *home = group->home;
   const Fleet *fleet = home->ops->fleet (home->ctx);
 
-  return rendezvous_group_stands (
+  return rendezvous_group_exists (
       group->backends->name, fleet_service (fleet, group->backends->service)->groups);
 }
 
--- a/src/rendezvous.c
+++ b/src/rendezvous.c
@@ -18,7 +18,7 @@
 }
 
 gboolean
-rendezvous_group_stands (const char *group, guint groups)
+rendezvous_group_exists (const char *group, guint groups)
 {
   const char *slash = strrchr (group, '/');
 
--- a/src/rendezvous.h
+++ b/src/rendezvous.h
@@ -9,5 +9,5 @@
 /** rendezvous_group - the group of a backend server among @groups of its service. */
 char *rendezvous_group (const char *service, const char *backend, guint groups);
 
-/** rendezvous_group_stands - whether "service/N" is one of @groups groups. */
-gboolean rendezvous_group_stands (const char *group, guint groups);
+/** rendezvous_group_exists - whether "service/N" is one of @groups groups. */
+gboolean rendezvous_group_exists (const char *group, guint groups);
