--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -58,7 +58,7 @@
 static void
 take_member_frame (Entry *entry, Member *member, Link *link, const Gw__Frame *frame)
 {
-  members_heard (entry->members, member, frame);
+  members_frame_received (entry->members, member, frame);
   take_config (entry, frame);
   if (frame->config_version < config_version (entry->config) && frame->hello == NULL
       && frame->config == NULL)
@@ -134,7 +134,7 @@
 on_frame (Link *link, const Gw__Frame *frame, gpointer ctx)
 {
   Entry *entry = ctx;
-  Member *member = members_of_link (entry->members, link);
+  Member *member = members_find_link (entry->members, link);
 
   if (member != NULL)
     take_member_frame (entry, member, link, frame);
@@ -183,7 +183,7 @@
 on_prepare (Link *link, Gw__Frame *frame, gpointer ctx)
 {
   Entry *entry = ctx;
-  const Member *member = members_of_link (entry->members, link);
+  const Member *member = members_find_link (entry->members, link);
   const Backend *backend;
 
   frame->given_up = member != NULL ? member->given_up : 0;
--- a/src/members.c
+++ b/src/members.c
@@ -23,7 +23,7 @@
 }
 
 Member *
-members_member_by_name (const Members *members, const char *name)
+members_by_name (const Members *members, const char *name)
 {
   Member *member;
 
@@ -36,7 +36,7 @@
 static Member *
 member_ensure (Members *members, const char *name)
 {
-  Member *member = members_member_by_name (members, name);
+  Member *member = members_by_name (members, name);
 
   if (member != NULL)
     return member;
@@ -135,7 +135,7 @@
 
   if (members_is_self (members, name))
     return;
-  member = members_member_by_name (members, name);
+  member = members_by_name (members, name);
   /* Hearsay about another incarnation of a linked entry is old: the link knows better. */
   if (member != NULL && member->state == MEMBER_UP)
     return;
@@ -266,7 +266,7 @@
 }
 
 Member *
-members_of_link (const Members *members, const Link *link)
+members_find_link (const Members *members, const Link *link)
 {
   Member *member;
 
@@ -280,7 +280,7 @@
 static void
 forget_seed (Members *members, Link *link, const char *real_name)
 {
-  Member *seed = members_of_link (members, link);
+  Member *seed = members_find_link (members, link);
 
   if (seed == NULL || strcmp (seed->name, real_name) == 0)
     return;
@@ -307,7 +307,7 @@
 members_link_up (Members *members, Link *link)
 {
   const Gw__Hello *hello = link_peer (link);
-  Member *known = members_of_link (members, link);
+  Member *known = members_find_link (members, link);
   gboolean dialed = known != NULL && known->dialing == link;
   Member *member;
 
@@ -362,7 +362,7 @@
 gboolean
 members_link_down (Members *members, Link *link, LinkEnd end)
 {
-  Member *member = members_of_link (members, link);
+  Member *member = members_find_link (members, link);
 
   if (member == NULL)
     return FALSE;
@@ -392,7 +392,7 @@
 }
 
 void
-members_heard (Members *members, Member *member, const Gw__Frame *frame)
+members_frame_received (Members *members, Member *member, const Gw__Frame *frame)
 {
   member->heard_ms = clock_now_ms ();
   if (frame->given_up > member->given_up_by)
--- a/src/members.h
+++ b/src/members.h
@@ -76,17 +76,17 @@
 void members_link_up (Members *members, Link *link);
 /** members_link_down - Return: whether the link was one of an entry. */
 gboolean members_link_down (Members *members, Link *link, LinkEnd end);
-/** members_of_link - the member behind a link, or NULL. */
-Member *members_of_link (const Members *members, const Link *link);
+/** members_find_link - the member behind a link, or NULL. */
+Member *members_find_link (const Members *members, const Link *link);
 
-/** members_heard - note what rides on a member's frame. */
-void members_heard (Members *members, Member *member, const Gw__Frame *frame);
+/** members_frame_received - note what rides on a member's frame. */
+void members_frame_received (Members *members, Member *member, const Gw__Frame *frame);
 
 /** members_home - the home of @group; NULL: this entry itself. */
 Member *members_home (Members *members, const char *group);
 
-/** members_second - the home should the first one go; *self if it is this entry. */
-Member *members_second (Members *members, const char *group, gboolean *self);
+/** members_successor - the home should the first one go; *self if it is this entry. */
+Member *members_successor (Members *members, const char *group, gboolean *self);
 
 Member *members_by_incarnation (const Members *members, guint64 incarnation);
 Member *members_first (const Members *members);
--- a/src/members_parts.h
+++ b/src/members_parts.h
@@ -24,7 +24,7 @@
 
 /* members.c */
 const Gw__Hello *members_own_hello (const Members *members);
-Member *members_member_by_name (const Members *members, const char *name);
+Member *members_by_name (const Members *members, const char *name);
 gboolean members_is_self (const Members *members, const char *name);
 void members_learn_entry (Members *members,
                           const char *name,
--- a/src/members_rank.c
+++ b/src/members_rank.c
@@ -52,7 +52,7 @@
 }
 
 Member *
-members_second (Members *members, const char *group, gboolean *self)
+members_successor (Members *members, const char *group, gboolean *self)
 {
   Member *home = members_home (members, group);
   gboolean found;
--- a/src/members_rows.c
+++ b/src/members_rows.c
@@ -66,7 +66,7 @@
   object = json_node_get_object (root);
   incarnation = g_ascii_strtoull (
       json_object_get_string_member_with_default (object, "incarnation", "0"), NULL, 10);
-  member = members_member_by_name (members, name);
+  member = members_by_name (members, name);
   if (member != NULL && member->row_version == row->version)
     {
       if (now - member->row_changed_ms > ROW_STALE_MS)
@@ -76,7 +76,7 @@
                        json_object_get_string_member_with_default (object, "zone", ""),
                        json_object_get_string_member_with_default (object, "frames", ""),
                        json_object_get_string_member_with_default (object, "http", ""));
-  member = members_member_by_name (members, name);
+  member = members_by_name (members, name);
   if (member != NULL && member->row_version != row->version)
     {
       member->row_version = row->version;
