--- a/src/agent_frames.c
+++ b/src/agent_frames.c
@@ -151,7 +151,7 @@
   if (record == NULL)
     return;
   agent_send_load (agent, record, TRUE);
-  owner_retell (agent_owner (agent), record->incarnation);
+  owner_resend (agent_owner (agent), record->incarnation);
 }
 
 static void
@@ -165,7 +165,7 @@
   /* What was sent over it may be lost, and no other link need come up to tell it again:
    * an entry that is a home here no more keeps only the link by which it settles. */
   if (incarnation != 0 && agent_peers_link_to (agent->peers, incarnation) != NULL)
-    owner_retell (agent_owner (agent), incarnation);
+    owner_resend (agent_owner (agent), incarnation);
 }
 
 const LinkOps agent_link_ops = { on_up, on_frame, on_down, NULL };
--- a/src/owner.c
+++ b/src/owner.c
@@ -96,7 +96,7 @@
 }
 
 guint
-owner_remembered (const Owner *owner)
+owner_record_count (const Owner *owner)
 {
   return g_hash_table_size (owner->tasks) + g_hash_table_size (owner->jobs);
 }
--- a/src/owner.h
+++ b/src/owner.h
@@ -116,11 +116,11 @@
 /** owner_ack_job - the receiver needs no more outcomes of the job. */
 void owner_ack_job (Owner *owner, const JobKey *job);
 
-/** owner_retell - tell all outcomes not acknowledged by @receiver again. */
-void owner_retell (Owner *owner, guint64 receiver);
+/** owner_resend - tell all outcomes not acknowledged by @receiver again. */
+void owner_resend (Owner *owner, guint64 receiver);
 
 /** owner_expire - forget tombstones and fences past their lifetime. */
 void owner_expire (Owner *owner, gint64 now_ms);
 
-/** owner_remembered - records held, for the capacity page. */
-guint owner_remembered (const Owner *owner);
+/** owner_record_count - records held, for the capacity page. */
+guint owner_record_count (const Owner *owner);
--- a/src/owner_fence.c
+++ b/src/owner_fence.c
@@ -142,7 +142,7 @@
 }
 
 void
-owner_retell (Owner *owner, guint64 receiver)
+owner_resend (Owner *owner, guint64 receiver)
 {
   GHashTableIter iter;
   OwnerRecord *record;
