--- a/src/agent.c
+++ b/src/agent.c
@@ -288,7 +288,7 @@
   agent->links.hello = &agent->hello;
   agent->links.heartbeat_ms = settings->heartbeat_ms;
   agent->links.timeout_ms = settings->timeout_ms;
-  agent->executor = executor_new (base, &executor, agent_on_tell, agent);
+  agent->executor = executor_new (base, &executor, agent_on_report, agent);
   agent->peers = agent_peers_new (&agent->links);
   agent->tick = event_new (base, -1, EV_PERSIST, on_tick, agent);
   fill_hello (agent);
--- a/src/agent_frames.c
+++ b/src/agent_frames.c
@@ -42,7 +42,7 @@
 }
 
 void
-agent_on_tell (const OwnerTask *task, gpointer ctx)
+agent_on_report (const OwnerTask *task, gpointer ctx)
 {
   Agent *agent = ctx;
 
--- a/src/agent_parts.h
+++ b/src/agent_parts.h
@@ -35,4 +35,4 @@
 /* agent_frames.c */
 extern const LinkOps agent_link_ops;
 void agent_send_load (Agent *agent, AgentLink *record, gboolean urgent);
-void agent_on_tell (const OwnerTask *task, gpointer ctx);
+void agent_on_report (const OwnerTask *task, gpointer ctx);
--- a/src/executor.c
+++ b/src/executor.c
@@ -13,7 +13,7 @@
   Owner *owner;
   HttpPool *pool;
   guint timeout_ms; /* of the calls that are being started */
-  ExecutorTell tell;
+  ExecutorReport tell;
   gpointer ctx;
   struct event *sweep;
 };
@@ -136,7 +136,7 @@
 Executor *
 executor_new (struct event_base *base,
               const ExecutorInit *init,
-              ExecutorTell tell,
+              ExecutorReport tell,
               gpointer ctx)
 {
   static const OwnerOps owner_ops = { on_start, on_tell };
--- a/src/executor.h
+++ b/src/executor.h
@@ -16,11 +16,11 @@
 } ExecutorInit;
 
 /* Tell of an outcome; see OwnerOps.tell. */
-typedef void (*ExecutorTell) (const OwnerTask *task, gpointer ctx);
+typedef void (*ExecutorReport) (const OwnerTask *task, gpointer ctx);
 
 Executor *executor_new (struct event_base *base,
                         const ExecutorInit *init,
-                        ExecutorTell tell,
+                        ExecutorReport tell,
                         gpointer ctx);
 
 /** executor_free - calls under way end as broken, and are told so. */
