--- a/src/agent_frames.c
+++ b/src/agent_frames.c
@@ -21,14 +21,14 @@
 
 /* Slots that one entry takes or frees matter to the others that place tasks here. */
 static void
-send_load_to_others (Agent *agent, guint64 asker)
+send_load_to_others (Agent *agent, guint64 requester)
 {
   gint64 now = clock_now_ms ();
   AgentLink *record;
 
   for (record = agent_peers_first (agent->peers); record != NULL;
        record = TAILQ_NEXT (record, link_entry))
-    if (record->incarnation != asker && record->incarnation != 0)
+    if (record->incarnation != requester && record->incarnation != 0)
       agent_send_load (agent, record, now - record->start_ms < ACTIVE_MS);
 }
 
@@ -47,10 +47,10 @@
   Agent *agent = ctx;
 
   send_outcome (agent, task, task->receiver);
-  if (task->asker != task->receiver)
-    send_outcome (agent, task, task->asker);
+  if (task->requester != task->receiver)
+    send_outcome (agent, task, task->requester);
   if (task->state == OWNER_DONE)
-    send_load_to_others (agent, task->asker);
+    send_load_to_others (agent, task->requester);
 }
 
 static void
--- a/src/executor.c
+++ b/src/executor.c
@@ -5,15 +5,15 @@
 #include "timeline.h"
 
 #define SWEEP_S 1
-/* Outcomes that wait for their acknowledgement; well inside a node's 128 MB. */
+/* For outcomes not yet acknowledged; well inside a node's 128 MB. */
 #define HELD_BYTES_MAX (48u << 20)
 
 struct Executor
 {
   Owner *owner;
   HttpPool *pool;
-  guint timeout_ms; /* of the calls that are being started */
-  ExecutorReport tell;
+  guint timeout_ms; /* of the calls being started */
+  ExecutorReport report;
   gpointer ctx;
   struct event *sweep;
 };
@@ -75,7 +75,7 @@
 }
 
 static void
-on_called (const HttpAnswer *answer, gpointer ctx)
+on_answer (const HttpAnswer *answer, gpointer ctx)
 {
   Call *call = ctx;
 
@@ -103,7 +103,7 @@
                     .body = payload,
                     .size = size,
                     .timeout_ms = executor->timeout_ms,
-                    .done = on_called,
+                    .done = on_answer,
                     .ctx = call };
 
   call->executor = executor;
@@ -114,15 +114,15 @@
 }
 
 static void
-on_tell (const OwnerTask *task, gpointer ctx)
+on_report (const OwnerTask *task, gpointer ctx)
 {
   Executor *executor = ctx;
-  const char *verb = task->kind == GW__OUTCOME__KIND__ANSWERED  ? "task-answered"
-                     : task->kind == GW__OUTCOME__KIND__NOT_RUN ? "task-not-run"
-                                                                : "task-broken";
+  const char *event = task->kind == GW__OUTCOME__KIND__ANSWERED  ? "task-answered"
+                      : task->kind == GW__OUTCOME__KIND__NOT_RUN ? "task-not-run"
+                                                                 : "task-broken";
 
-  timeline_add (verb, &task->key.job, (int)task->key.index, reason_detail (task));
-  executor->tell (task, executor->ctx);
+  timeline_add (event, &task->key.job, (int)task->key.index, reason_detail (task));
+  executor->report (task, executor->ctx);
 }
 
 static void
@@ -136,10 +136,10 @@
 Executor *
 executor_new (struct event_base *base,
               const ExecutorInit *init,
-              ExecutorReport tell,
+              ExecutorReport report,
               gpointer ctx)
 {
-  static const OwnerOps owner_ops = { on_start, on_tell };
+  static const OwnerOps owner_ops = { on_start, on_report };
   Executor *executor = g_new0 (Executor, 1);
   OwnerLimits limits = { init->slots, HELD_BYTES_MAX };
   struct timeval interval = { SWEEP_S, 0 };
@@ -147,7 +147,7 @@
   executor->owner = owner_new (&limits, &owner_ops, executor);
   executor->pool
       = http_pool_new (base, init->address, MIN (init->slots, init->connections));
-  executor->tell = tell;
+  executor->report = report;
   executor->ctx = ctx;
   executor->sweep = event_new (base, -1, EV_PERSIST, on_sweep, executor);
   event_add (executor->sweep, &interval);
--- a/src/owner.c
+++ b/src/owner.c
@@ -68,7 +68,7 @@
 }
 
 guint
-owner_busy_for_others (const Owner *owner, guint64 asker)
+owner_busy_for_others (const Owner *owner, guint64 requester)
 {
   GHashTableIter iter;
   OwnerRecord *record;
@@ -78,7 +78,7 @@
     return 0;
   g_hash_table_iter_init (&iter, owner->tasks);
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&record))
-    if (record->task.state == OWNER_RUNNING && record->task.asker != asker)
+    if (record->task.state == OWNER_RUNNING && record->task.requester != requester)
       others++;
   return others;
 }
@@ -179,9 +179,9 @@
   return GW__OUTCOME__REASON__NONE;
 }
 
-/* A task that was once started is never started again, whatever attempt is named. */
+/* A task that has been started is never started again, whatever the attempt number. */
 static void
-start_again (Owner *owner, const OwnerTask *task, guint32 attempt, guint64 receiver)
+handle_duplicate (Owner *owner, const OwnerTask *task, guint32 attempt, guint64 receiver)
 {
   OwnerTask reply = *task;
 
@@ -189,20 +189,20 @@
   if (attempt == task->attempt)
     {
       if (task->state == OWNER_DONE && !task->acked)
-        owner->ops->tell (task, owner->ctx);
+        owner->ops->report (task, owner->ctx);
       return;
     }
   reply.attempt = attempt;
   reply.receiver = receiver;
-  reply.asker = receiver;
-  /* An earlier attempt comes from a home that was out of touch, after another one had the
-   * task. It never runs under that attempt, and the home must be told, or it would count
-   * the slot as taken for good. */
+  reply.requester = receiver;
+  /* An earlier attempt comes from a home that was cut off while another home placed the
+   * task. It will never run under that attempt; without a reply the home would count the
+   * slot as busy forever. */
   reply.kind = attempt < task->attempt ? GW__OUTCOME__KIND__NOT_RUN
                                        : GW__OUTCOME__KIND__MAY_HAVE_RUN;
   reply.reason = GW__OUTCOME__REASON__FENCED;
   reply.body = NULL;
-  owner->ops->tell (&reply, owner->ctx);
+  owner->ops->report (&reply, owner->ctx);
 }
 
 static void
@@ -221,10 +221,10 @@
   reply = *task;
   reply.attempt = attempt;
   reply.receiver = receiver;
-  reply.asker = receiver;
+  reply.requester = receiver;
   reply.kind = GW__OUTCOME__KIND__NOT_RUN;
   reply.reason = reason;
-  owner->ops->tell (&reply, owner->ctx);
+  owner->ops->report (&reply, owner->ctx);
 }
 
 void
@@ -243,7 +243,7 @@
 
   if (task != NULL && task->state != OWNER_REFUSED)
     {
-      start_again (owner, task, attempt, receiver);
+      handle_duplicate (owner, task, attempt, receiver);
       return;
     }
   reason = refusal_reason (owner, key, attempt, lease_until_ms, now_ms);
@@ -255,7 +255,7 @@
   task = owner_task_ensure (owner, key);
   task->attempt = attempt;
   task->state = OWNER_RUNNING;
-  task->asker = receiver;
+  task->requester = receiver;
   task->receiver = receiver;
   task->changed_ms = now_ms;
   owner->busy++;
@@ -285,9 +285,9 @@
   task->status = status;
   if (kind == GW__OUTCOME__KIND__NOT_RUN)
     {
-      /* The call never left this process: another attempt may be made. */
+      /* The call was never sent, so another attempt may start. */
       task->state = OWNER_REFUSED;
-      owner->ops->tell (task, owner->ctx);
+      owner->ops->report (task, owner->ctx);
       return;
     }
   task->state = OWNER_DONE;
@@ -300,5 +300,5 @@
       return;
     }
   owner->unacked++;
-  owner->ops->tell (task, owner->ctx);
+  owner->ops->report (task, owner->ctx);
 }
--- a/src/owner.h
+++ b/src/owner.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The slot owner's decisions: what may start, what never may, and what is remembered
- * until its receiver has it. No I/O; the clock is handed in. */
+/* The slot owner of one backend server: admits or refuses starts, fences attempts, and
+ * keeps outcomes until they are acknowledged. No I/O; the time is passed in. */
 #include "godwitspar.pb-c.h"
 #include "jobid.h"
 
@@ -21,9 +21,9 @@
   guint32 attempt;
   guint32 fence_attempt; /* no start under attempts up to this one */
   OwnerState state;
-  guint64 asker;     /* incarnation of the home that asked for the start */
-  guint64 receiver;  /* incarnation of the process that is told the outcome */
-  gint64 changed_ms; /* start, or finish once done */
+  guint64 requester; /* incarnation of the home that requested the start */
+  guint64 receiver;  /* incarnation of the process that gets the outcome */
+  gint64 changed_ms; /* start time; finish time once done */
   gboolean acked;
   Gw__Outcome__Kind kind;
   Gw__Outcome__Reason reason;
@@ -32,7 +32,7 @@
   GBytes *body;
 } OwnerTask;
 
-/* The actions, carried out by the owner's user. */
+/* Actions of the module that uses the slot owner. */
 typedef struct
 {
   /* Call the backend server; owner_finish () must follow. */
@@ -41,8 +41,8 @@
                  const void *payload,
                  gsize size,
                  gpointer ctx);
-  /* Tell @task->receiver, and @task->asker whose slot it was. */
-  void (*tell) (const OwnerTask *task, gpointer ctx);
+  /* Send the outcome to @task->receiver, and to @task->requester to free its slot. */
+  void (*report) (const OwnerTask *task, gpointer ctx);
 } OwnerOps;
 
 typedef struct
@@ -54,26 +54,27 @@
 Owner *owner_new (const OwnerLimits *limits, const OwnerOps *ops, gpointer ctx);
 void owner_free (Owner *owner);
 
-/** owner_set_slots - the backend server's concurrency; running tasks are let finish. */
+/** owner_set_slots - set the backend server's concurrency; running tasks finish. */
 void owner_set_slots (Owner *owner, guint slots);
 
-/** owner_set_leaving - refuse every start from now on, or take them again. */
+/** owner_set_leaving - refuse all starts, or accept them again. */
 void owner_set_leaving (Owner *owner, gboolean leaving);
 
 guint owner_slots (const Owner *owner);
 guint owner_busy (const Owner *owner);
-/** owner_busy_for_others - running tasks that others than @asker asked for. */
-guint owner_busy_for_others (const Owner *owner, guint64 asker);
+/** owner_busy_for_others - running tasks requested by anyone but @requester. */
+guint owner_busy_for_others (const Owner *owner, guint64 requester);
 gboolean owner_leaving (const Owner *owner);
 /** owner_unacked - finished tasks whose receiver has not acknowledged them. */
 guint owner_unacked (const Owner *owner);
 
 /**
- * owner_start - start one task, or refuse it with proof.
- * @receiver: incarnation of the process that asks and is told the outcome.
- * @lease_until_ms: a start after this moment is refused.
+ * owner_start - start one task, or refuse it: it will not run under @attempt.
+ * @receiver: incarnation of the home that requests it and gets the outcome.
+ * @lease_until_ms: end of the lease; later starts are refused.
  *
- * Calls start () or tell () before it returns, or neither if the task runs already.
+ * Calls start () or report () before it returns; neither if the attempt is already
+ * running, or done and acknowledged.
  */
 void owner_start (Owner *owner,
                   const TaskKey *key,
@@ -85,8 +86,7 @@
                   gint64 lease_until_ms,
                   gint64 now_ms);
 
-/** owner_finish - the backend server's answer, or what became of the call. Takes @body.
- */
+/** owner_finish - record the backend server's response or failure. Takes @body. */
 void owner_finish (Owner *owner,
                    const TaskKey *key,
                    Gw__Outcome__Kind kind,
@@ -97,10 +97,10 @@
 
 /**
  * owner_fence - forbid all starts of a job under attempts up to @up_to_attempt.
- * @indexes: the tasks concerned; NULL or none for all of the job.
- * @receiver: is told the outcomes of those that did start, at once if they are done.
+ * @indexes: the tasks to fence; NULL or none for the whole job.
+ * @receiver: gets the outcomes of tasks that have started, at once if they are done.
  *
- * Return: the tasks that started, as OwnerTask pointers; free the array.
+ * Return: the tasks that have started, as OwnerTask pointers; free the array.
  */
 GPtrArray *owner_fence (Owner *owner,
                         const JobKey *job,
@@ -110,17 +110,17 @@
                         guint64 receiver,
                         gint64 now_ms);
 
-/** owner_ack - the receiver has the outcome; only the tombstone stays. */
+/** owner_ack - the receiver has the outcome; drop its body, keep a tombstone. */
 void owner_ack (Owner *owner, const TaskKey *key, guint32 attempt);
 
-/** owner_ack_job - the receiver needs no more outcomes of the job. */
+/** owner_ack_job - the receiver needs no further outcomes of the job. */
 void owner_ack_job (Owner *owner, const JobKey *job);
 
-/** owner_resend - tell all outcomes not acknowledged by @receiver again. */
+/** owner_resend - report again all outcomes that @receiver has not acknowledged. */
 void owner_resend (Owner *owner, guint64 receiver);
 
-/** owner_expire - forget tombstones and fences past their lifetime. */
+/** owner_expire - drop tombstones, fences and outcomes past their lifetime. */
 void owner_expire (Owner *owner, gint64 now_ms);
 
-/** owner_record_count - records held, for the capacity page. */
+/** owner_record_count - task and job records in memory. */
 guint owner_record_count (const Owner *owner);
--- a/src/owner_fence.c
+++ b/src/owner_fence.c
@@ -1,37 +1,35 @@
-/* What a slot owner keeps after the start: fences, who is to have an outcome, what is
- * acknowledged and what may be forgotten. */
+/* Fences, receivers and acknowledgements of outcomes, and expiry. */
 #include "owner_parts.h"
 
-/* Links drop every frame older than their timeout (seconds), so a hand-over can be
- * repeated only within it; the rest is margin. */
+/* Links drop frames older than their timeout (seconds), so a start can be repeated only
+ * within that time; the rest is margin. */
 #define TOMBSTONE_LIFETIME_MS 120000
-/* An outcome nobody fetches: its receiver and everyone who could settle with us is gone.
- */
+/* An outcome that nobody acknowledges: its receiver and every entry that could reconcile
+ * with this slot owner are lost. */
 #define OUTCOME_LIFETIME_MS 600000
 
-/* The home that asked for the start is told its outcome in any case. Its question must
- * not take the outcome away from a holder that has settled the task meanwhile. Nor must
- * that of an earlier home, which learns from the attempt in the reply that it is late. */
+/* The home that requested the start gets the outcome anyway. Its fence must not redirect
+ * the outcome away from a holder that has reconciled the task meanwhile. Nor must the
+ * fence of an earlier home, which sees in the reply that a later attempt has started. */
 static void
-claim_task (OwnerTask *task, guint32 up_to_attempt, guint64 receiver)
+update_receiver (OwnerTask *task, guint32 up_to_attempt, guint64 receiver)
 {
-  if (receiver != task->asker && task->attempt <= up_to_attempt)
+  if (receiver != task->requester && task->attempt <= up_to_attempt)
     task->receiver = receiver;
 }
 
-/* Somebody else has the outcome already, and its body is dropped. Who asks for it now is
- * a home that was out of touch: it must learn that the slot is free, or it would count it
- * as taken for good. */
+/* The outcome was acknowledged by another process, and its body is dropped. @receiver is
+ * a home that was cut off: without a report it would count the slot as busy forever. */
 static void
-tell_dropped (Owner *owner, const OwnerTask *task, guint64 receiver)
+report_dropped (Owner *owner, const OwnerTask *task, guint64 receiver)
 {
   OwnerTask reply = *task;
 
   reply.receiver = receiver;
-  reply.asker = receiver;
+  reply.requester = receiver;
   reply.kind = GW__OUTCOME__KIND__MAY_HAVE_RUN;
   reply.reason = GW__OUTCOME__REASON__OWNER_LOST;
-  owner->ops->tell (&reply, owner->ctx);
+  owner->ops->report (&reply, owner->ctx);
 }
 
 static void
@@ -44,15 +42,15 @@
 {
   OwnerTask *task = owner_task_ensure (owner, key);
 
-  /* It holds for a running task as well: should its call turn out never to have left, a
-   * late start of the fenced home would otherwise be taken for a fresh attempt. */
+  /* Also for a running task: if its call turns out never to have been sent, a delayed
+   * start from the fenced home would otherwise pass as a new attempt. */
   task->fence_attempt = MAX (task->fence_attempt, up_to_attempt);
   if (task->state == OWNER_REFUSED)
     {
       task->changed_ms = now_ms;
       return;
     }
-  claim_task (task, up_to_attempt, receiver);
+  update_receiver (task, up_to_attempt, receiver);
   g_ptr_array_add (started, task);
 }
 
@@ -73,7 +71,7 @@
     {
       if (record->task.state == OWNER_REFUSED)
         continue;
-      claim_task (&record->task, up_to_attempt, receiver);
+      update_receiver (&record->task, up_to_attempt, receiver);
       g_ptr_array_add (started, &record->task);
     }
 }
@@ -102,9 +100,9 @@
       const OwnerTask *task = g_ptr_array_index (started, i);
 
       if (task->state == OWNER_DONE && task->acked)
-        tell_dropped (owner, task, receiver);
+        report_dropped (owner, task, receiver);
       else if (task->state == OWNER_DONE)
-        owner->ops->tell (task, owner->ctx);
+        owner->ops->report (task, owner->ctx);
     }
   return started;
 }
@@ -151,7 +149,7 @@
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&record))
     if (record->task.state == OWNER_DONE && !record->task.acked
         && record->task.receiver == receiver)
-      owner->ops->tell (&record->task, owner->ctx);
+      owner->ops->report (&record->task, owner->ctx);
 }
 
 static gboolean
--- a/src/owner_parts.h
+++ b/src/owner_parts.h
@@ -1,22 +1,21 @@
 #pragma once
-/* What the parts of the slot owner share. owner.c starts and ends tasks, owner_fence.c
- * keeps what is known of them afterwards. */
+/* Shared by the parts of the slot owner: owner.c starts and finishes tasks, owner_fence.c
+ * keeps fences and outcomes. */
 #include "owner.h"
 
 #include <sys/queue.h>
 
-/* What is known of one job here: its fence, and its tasks. */
 typedef struct
 {
   JobKey key;
-  guint32 fence_attempt; /* no start under attempts up to this one */
+  guint32 fence_attempt; /* for all its tasks; as OwnerTask.fence_attempt */
   gint64 fenced_ms;
   LIST_HEAD (, OwnerRecord) tasks;
 } OwnerJob;
 
 typedef struct OwnerRecord
 {
-  OwnerTask task; /* first: records are looked up by the key in it */
+  OwnerTask task; /* task.key is the key in Owner.tasks */
   LIST_ENTRY (OwnerRecord) link;
   OwnerJob *job;
 } OwnerRecord;
