--- a/src/agent.c
+++ b/src/agent.c
@@ -11,7 +11,7 @@
 #define TICK_MS 100
 #define DISCOVER_MS 1000
 #define DISCOVER_TIMEOUT_MS 1000
-/* Outcomes that nobody fetches do not hold up a leaving agent longer. */
+/* How long unacknowledged outcomes delay the exit of an idle agent. */
 #define UNACKED_LIMIT_MS 5000
 
 Owner *
@@ -20,9 +20,7 @@
   return executor_owner (agent->executor);
 }
 
-/* Frames. */
-
-/* Discovery: any entry, or the balancer before them, names all entries. */
+/* Discovery: any entry, or the load balancer in front of them, lists all entries. */
 
 static void
 learn_row (Agent *agent, JsonObject *row)
@@ -71,7 +69,7 @@
     http_pool_call (*pool, &call);
 }
 
-/* The clock's work. */
+/* Timer. */
 
 static void
 drain_tick (Agent *agent, gint64 now)
@@ -86,7 +84,7 @@
   if ((idle && (owner_unacked (owner) == 0 || now - agent->idle_ms > UNACKED_LIMIT_MS))
       || now - agent->draining_ms > agent->settings->drain_limit_ms)
     {
-      log_notice ("nothing is in flight any more");
+      log_notice ("drain finished");
       event_base_loopexit (agent->base, NULL);
     }
 }
--- a/src/agent_frames.c
+++ b/src/agent_frames.c
@@ -1,11 +1,11 @@
 #define LOG_MODULE "agent"
-/* What entries say over their links, and what they are told. */
+/* Frames from and to entries. */
 #include "agent_parts.h"
 #include "clock.h"
 #include "messages.h"
 #include "timeline.h"
 
-/* An entry that handed over a task this recently is told at once of slots others take. */
+/* Entries that started a task this recently are sent load changes at once. */
 #define ACTIVE_MS 3000
 
 void
@@ -19,7 +19,7 @@
                     owner_leaving (owner), urgent);
 }
 
-/* Slots that one entry takes or frees matter to the others that place tasks here. */
+/* Other entries that place tasks here need to know of slots taken or freed. */
 static void
 send_load_to_others (Agent *agent, guint64 requester)
 {
@@ -112,7 +112,7 @@
   g_ptr_array_unref (started);
 }
 
-/* Entries are named only over the link that the sender has chosen for its tasks. */
+/* An entry sends its list of entries only over the link that it uses for its tasks. */
 static void
 take_entries (Agent *agent, AgentLink *record, const Gw__Frame *frame)
 {
@@ -134,7 +134,7 @@
   if (record == NULL)
     return;
   take_entries (agent, record, frame);
-  /* A fence that shares a frame with a start is about earlier ones. */
+  /* A fence in the same frame as a start applies to earlier starts. */
   for (gsize i = 0; i < frame->n_fences; i++)
     take_fence (agent, record, frame->fences[i]);
   for (gsize i = 0; i < frame->n_acks; i++)
@@ -162,8 +162,8 @@
   guint64 incarnation = record != NULL ? record->incarnation : 0;
 
   agent_peers_link_down (agent->peers, link);
-  /* What was sent over it may be lost, and no other link need come up to tell it again:
-   * an entry that is a home here no more keeps only the link by which it settles. */
+  /* Outcomes sent over it may be lost, and there may be no link_up to resend them on: an
+   * entry that is no longer a home here keeps only the link it reconciles over. */
   if (incarnation != 0 && agent_peers_link_to (agent->peers, incarnation) != NULL)
     owner_resend (agent_owner (agent), incarnation);
 }
--- a/src/agent_main.c
+++ b/src/agent_main.c
@@ -1,4 +1,4 @@
-/* godwitspar-agent: a thin main over the library. */
+/* godwitspar-agent: main program. */
 #include "agent.h"
 #include "daemon.h"
 
--- a/src/agent_parts.h
+++ b/src/agent_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the parts of the agent share. agent.c is its life and its HTTP pages,
- * agent_frames.c what it says to entries and hears from them. */
+/* Shared by the parts of the agent: agent.c has its lifecycle, discovery and HTTP pages,
+ * agent_frames.c the frames from and to entries. */
 #include "agent.h"
 #include "agent_peers.h"
 #include "executor.h"
@@ -23,10 +23,10 @@
   struct evhttp *http;
   char *http_bound;
   struct event *tick;
-  HttpPool **discovery; /* one for each address in the settings, NULL-terminated */
+  HttpPool **discovery; /* one per address in the settings, NULL-terminated */
   gint64 discovered_ms;
   gint64 draining_ms;
-  gint64 idle_ms; /* while draining: since when nothing runs */
+  gint64 idle_ms; /* while draining: since when no task is running */
 };
 
 /* agent.c */
