--- a/src/catalog.c
+++ b/src/catalog.c
@@ -54,11 +54,12 @@
 }
 
 static gboolean
-host_matches (const char *wanted, const char *given)
+host_matches (const char *expected, const char *given)
 {
   gsize length = strcspn (given, ":");
 
-  return strlen (wanted) == length && g_ascii_strncasecmp (wanted, given, length) == 0;
+  return strlen (expected) == length
+         && g_ascii_strncasecmp (expected, given, length) == 0;
 }
 
 const JobQueue *
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -17,9 +17,9 @@
   const char *name;
   FieldType type;
   gsize offset;
-  double least;
-  double most;
-  const char *fallback;
+  double min;
+  double max;
+  const char *default_value;
   const char *text;
 } Field;
 
@@ -78,11 +78,11 @@
 }
 
 static void
-fields_default (const Field *fields, gsize n_fields, gpointer record)
+fields_set_defaults (const Field *fields, gsize n_fields, gpointer record)
 {
   for (gsize i = 0; i < n_fields; i++)
-    field_assign (&fields[i], record, g_ascii_strtod (fields[i].fallback, NULL),
-                  fields[i].fallback);
+    field_assign (&fields[i], record, g_ascii_strtod (fields[i].default_value, NULL),
+                  fields[i].default_value);
 }
 
 static gboolean
@@ -120,10 +120,10 @@
       return;
     }
   number = json_node_get_double (node);
-  if (number < field->least || number > field->most)
+  if (number < field->min || number > field->max)
     {
-      findings_add (findings, key, "%g is not between %g and %g", number, field->least,
-                    field->most);
+      findings_add (findings, key, "%g is not between %g and %g", number, field->min,
+                    field->max);
       return;
     }
   if (field->type == FIELD_UINT && number != (double)(guint)number)
@@ -160,7 +160,7 @@
   if (service != NULL)
     return service;
   service = g_new0 (FleetService, 1);
-  fields_default (service_fields, G_N_ELEMENTS (service_fields), service);
+  fields_set_defaults (service_fields, G_N_ELEMENTS (service_fields), service);
   g_hash_table_insert (fleet->services, g_strdup (name), service);
   return service;
 }
@@ -173,7 +173,7 @@
   if (team != NULL)
     return team;
   team = g_new0 (FleetTeam, 1);
-  fields_default (team_fields, G_N_ELEMENTS (team_fields), team);
+  fields_set_defaults (team_fields, G_N_ELEMENTS (team_fields), team);
   g_hash_table_insert (fleet->teams, g_strdup (name), team);
   return team;
 }
@@ -255,8 +255,8 @@
   fleet->teams = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   fleet->drained_backends = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   fleet->drained_entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  fields_default (limit_fields, G_N_ELEMENTS (limit_fields), fleet);
-  /* The names "" hold the defaults; no key can name them. */
+  fields_set_defaults (limit_fields, G_N_ELEMENTS (limit_fields), fleet);
+  /* The name "" holds the defaults; it is not valid in a key. */
   service_ensure (fleet, "");
   team_ensure (fleet, "");
   return fleet;
@@ -377,7 +377,7 @@
 {
   for (gsize i = 0; i < n_fields; i++)
     g_string_append_printf (page, "%s%s = %s: %s\n", prefix, fields[i].name,
-                            fields[i].fallback, fields[i].text);
+                            fields[i].default_value, fields[i].text);
 }
 
 char *
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -1,18 +1,17 @@
 #pragma once
-/* The fleet's configuration, as operators set it: one JSON object of dotted keys, each
- * checked, turned into typed records. */
+/* Fleet configuration: parses and checks one JSON object with dotted keys. */
 #include "findings.h"
 
 #include <glib.h>
 
 typedef struct
 {
-  guint deadline_ms;     /* of a job that names none */
+  guint deadline_ms;     /* of jobs that set none */
   guint max_tasks;       /* of one job */
   guint task_timeout_ms; /* of one call to a backend server */
-  guint groups;          /* the service's backend servers are split into */
+  guint groups;          /* into which the service's backend servers are split */
   guint max_memory_mb;   /* the largest task any worker can hold; 0: unknown */
-  char *path;            /* where backend servers take tasks */
+  char *path;            /* HTTP path of the backend servers for tasks */
 } FleetService;
 
 typedef struct
@@ -33,10 +32,10 @@
 } Fleet;
 
 /**
- * fleet_parse - check and read a configuration.
+ * fleet_parse - parse and check a configuration.
  * @body: JSON text; "{}" gives all defaults.
- * @findings: every fault with its key.
- * Return: the fleet, or NULL if there were faults.
+ * @findings: gets each error with its key.
+ * Return: the fleet, or NULL on errors.
  */
 Fleet *fleet_parse (const char *body, Findings *findings);
 void fleet_free (Fleet *fleet);
@@ -47,12 +46,12 @@
 const FleetTeam *fleet_team (const Fleet *fleet, const char *name);
 
 /**
- * fleet_change - @body with one key set, or removed.
+ * fleet_change - set or remove one key of @body.
  * @value: JSON text of the value; NULL removes the key.
  * Return: the new body, checked as a whole, or NULL with @findings; free with g_free.
  */
 char *
 fleet_change (const char *body, const char *key, const char *value, Findings *findings);
 
-/** fleet_key_docs - every key with its type, default and meaning, a line each. */
+/** fleet_key_docs - one line per key: its default and meaning. */
 char *fleet_key_docs (void);
--- a/src/names.h
+++ b/src/names.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Names of teams, services, processes and zones, as people may write them. */
+/* Names of teams, services, processes and zones. */
 #include <glib.h>
 
 /** name_is_valid - 1 to 64 letters, digits, '-' and '_'. */
--- a/src/rendezvous.h
+++ b/src/rendezvous.h
@@ -1,13 +1,14 @@
 #pragma once
-/* Rendezvous hashing: every process that knows the same entries ranks them alike for a
- * group, and the loss of one moves only its own groups. */
+/* Rendezvous hashing: processes that know the same entries rank them alike for a group,
+ * and the loss of an entry moves only its own groups. */
 #include <glib.h>
 
-/** rendezvous_score - the rank weight of @name for @group; the highest is its home. */
+/** rendezvous_score - weight of entry @name for @group; the highest is its home. */
 guint64 rendezvous_score (const char *group, const char *name);
 
-/** rendezvous_group - the group of a backend server among @groups of its service. */
+/** rendezvous_group - a backend server's group, "service/N" with N below @groups; free
+ * with g_free. */
 char *rendezvous_group (const char *service, const char *backend, guint groups);
 
-/** rendezvous_group_exists - whether "service/N" is one of @groups groups. */
+/** rendezvous_group_exists - whether N of "service/N" is below @groups. */
 gboolean rendezvous_group_exists (const char *group, guint groups);
