--- a/src/callers.c
+++ b/src/callers.c
@@ -195,7 +195,7 @@
       char *place;
 
       if (holder_knows_service (callers->init.holder, spec->service)
-          || fleet_names_service (config_fleet (callers->init.config), spec->service))
+          || fleet_has_service (config_fleet (callers->init.config), spec->service))
         continue;
       place = g_strdup_printf ("tasks[%u].service", i);
       findings_add (findings, place, "unknown service '%s'", spec->service);
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -322,7 +322,7 @@
 }
 
 gboolean
-fleet_names_service (const Fleet *fleet, const char *name)
+fleet_has_service (const Fleet *fleet, const char *name)
 {
   return name[0] != '\0' && g_hash_table_contains (fleet->services, name);
 }
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -42,7 +42,7 @@
 
 /** fleet_service - the service's settings, or the defaults. */
 const FleetService *fleet_service (const Fleet *fleet, const char *name);
-gboolean fleet_names_service (const Fleet *fleet, const char *name);
+gboolean fleet_has_service (const Fleet *fleet, const char *name);
 const FleetTeam *fleet_team (const Fleet *fleet, const char *name);
 
 /**
