--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -158,7 +158,7 @@
     return TRUE;
   member = members_by_incarnation (entry->members, holder);
   return member != NULL && member->state == MEMBER_UP
-         && clock_now_ms () - member->heard_ms <= entry->links.timeout_ms;
+         && clock_now_ms () - member->received_ms <= entry->links.timeout_ms;
 }
 
 static guint64
--- a/src/members.c
+++ b/src/members.c
@@ -7,13 +7,13 @@
 #include <string.h>
 
 #define TICK_MS 100
-/* A lost link is dialed again at once; not standing again after this, its entry is lost.
+/* A lost link is redialed at once; if it is not up again after this, the entry is lost.
  */
 #define SUSPECT_MS 1000
 #define REDIAL_MS 500
 #define REDIAL_DOWN_MS 2000
 #define FORGET_MS 120000
-/* Two dials this close together are taken to have crossed. */
+/* Links that come up this close together count as crossed dials. */
 #define SIMULTANEOUS_MS 1000
 
 const Gw__Hello *
@@ -77,11 +77,11 @@
 member_lost (Member *member, gboolean proved_dead)
 {
   Members *members = member->members;
-  gboolean news = member->state != MEMBER_DOWN;
+  gboolean changed_state = member->state != MEMBER_DOWN;
 
   member->proved_dead = member->proved_dead || proved_dead;
   member->state = MEMBER_DOWN;
-  if (!news)
+  if (!changed_state)
     return;
   member->given_up = ++members->given_up;
   log_notice ("entry %s is lost%s", member->name, proved_dead ? ", proved dead" : "");
@@ -90,9 +90,9 @@
   members->ops->changed (members->ctx);
 }
 
-/* A new incarnation under a known name: the old one is gone for good. */
+/* A new incarnation of a known name proves that the old one has exited. */
 static void
-member_renew (Member *member, guint64 incarnation)
+member_set_incarnation (Member *member, guint64 incarnation)
 {
   if (member->incarnation == incarnation)
     return;
@@ -136,7 +136,7 @@
   if (members_is_self (members, name))
     return;
   member = members_by_name (members, name);
-  /* Hearsay about another incarnation of a linked entry is old: the link knows better. */
+  /* While the link is up its Hello is authoritative; other sources are older. */
   if (member != NULL && member->state == MEMBER_UP)
     return;
   if (member != NULL && member->incarnation == incarnation)
@@ -145,7 +145,7 @@
   replace_text (&member->zone, zone);
   replace_text (&member->frame_address, frame_address);
   replace_text (&member->http_address, http_address);
-  member_renew (member, incarnation);
+  member_set_incarnation (member, incarnation);
   member_dial (member);
 }
 
@@ -219,7 +219,7 @@
   g_free (members);
 }
 
-/* Seeds are dialed under a name of their own until their Hello tells the real one. */
+/* A seed has its address as its name until its Hello gives the real one. */
 static void
 dial_seeds (Members *members)
 {
@@ -250,10 +250,10 @@
 }
 
 void
-members_leave (Members *members, gboolean gone)
+members_leave (Members *members, gboolean final)
 {
   members->leaving = TRUE;
-  if (gone)
+  if (final)
     members_write_own_row (members, TRUE);
   members_touch_all (members);
   members->ops->changed (members->ctx);
@@ -276,7 +276,7 @@
   return NULL;
 }
 
-/* A seed's record ends when its real name is known. */
+/* Drops a seed's record once the real name is known. */
 static void
 forget_seed (Members *members, Link *link, const char *real_name)
 {
@@ -289,14 +289,14 @@
     member_free (seed);
 }
 
-/* Two entries may dial each other at once. Both keep the connection that the one with the
- * smaller name dialed, so they agree without a word. */
+/* Two entries may dial each other at once. Both keep the link dialed by the entry with
+ * the smaller name, so that they choose the same one. */
 static gboolean
 keeps_old_link (const Members *members, const Member *member, gboolean dialed)
 {
   gboolean self_smaller = strcmp (members_own_hello (members)->name, member->name) < 0;
 
-  /* A peer that dials anew later on has lost the old connection, whatever we believe. */
+  /* A peer that dials again later has lost the old link, even if it looks up here. */
   if (clock_now_ms () - member->linked_ms > SIMULTANEOUS_MS)
     return FALSE;
   return member->state == MEMBER_UP && link_is_up (member->link)
@@ -327,7 +327,7 @@
   replace_text (&member->zone, hello->zone);
   replace_text (&member->frame_address, hello->frame_address);
   replace_text (&member->http_address, hello->http_address);
-  member_renew (member, hello->incarnation);
+  member_set_incarnation (member, hello->incarnation);
   if (keeps_old_link (members, member, dialed))
     {
       link_close (link);
@@ -340,8 +340,8 @@
     log_notice ("entry %s is up", member->name);
   member->state = MEMBER_UP;
   member->proved_dead = FALSE;
-  member->heard_ms = clock_now_ms ();
-  member->linked_ms = member->heard_ms;
+  member->received_ms = clock_now_ms ();
+  member->linked_ms = member->received_ms;
   members_send_entries (members, link);
   members->ops->up (member, members->ctx);
   members->ops->changed (members->ctx);
@@ -394,11 +394,11 @@
 void
 members_frame_received (Members *members, Member *member, const Gw__Frame *frame)
 {
-  member->heard_ms = clock_now_ms ();
+  member->received_ms = clock_now_ms ();
   if (frame->given_up > member->given_up_by)
     {
       member->given_up_by = frame->given_up;
-      log_notice ("entry %s had given this one up", member->name);
+      log_notice ("entry %s had declared this one dead", member->name);
       members->ops->given_up (member, members->ctx);
     }
   member->config_version = MAX (member->config_version, frame->config_version);
--- a/src/members_parts.h
+++ b/src/members_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the parts of the membership share. members.c keeps links, members_rank.c the
- * ranks of entries for a group, members_rows.c the rows of the platform's table. */
+/* Shared by the parts of the membership: members.c keeps links, members_rank.c ranks the
+ * entries for a group, members_rows.c syncs with the platform's table. */
 #include "members.h"
 
 #define ROW_REFRESH_MS 10000
@@ -17,7 +17,7 @@
   struct event *poll;
   gboolean polling;
   gboolean leaving;
-  guint64 given_up; /* counts members given up */
+  guint64 given_up; /* number of times a member was declared dead */
   gint64 row_written_ms;
   TAILQ_HEAD (, Member) list;
 };
@@ -34,5 +34,5 @@
                           const char *http_address);
 
 /* members_rows.c */
-void members_write_own_row (Members *members, gboolean gone);
+void members_write_own_row (Members *members, gboolean final);
 void members_on_poll (evutil_socket_t fd, short what, void *ctx);
--- a/src/members_rank.c
+++ b/src/members_rank.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "members"
-/* Who is the home of a group, who comes next, and whether all entries are heard. */
+/* The home of a group, its successor, and checks over all entries. */
 #include "clock.h"
 #include "members_parts.h"
 #include "rendezvous.h"
@@ -11,8 +11,8 @@
          && !member->draining;
 }
 
-/* The best-ranked candidate but @except; NULL is this entry itself. *found is FALSE if
- * nobody is left. */
+/* The best-ranked candidate except @except; NULL is this entry itself. *found is FALSE if
+ * there is none. */
 static Member *
 best_ranked (Members *members,
              const char *group,
@@ -73,10 +73,10 @@
       if (member->proved_dead)
         continue;
       if (member->state != MEMBER_UP
-          || now - member->heard_ms > members->links->timeout_ms)
+          || now - member->received_ms > members->links->timeout_ms)
         return FALSE;
-      /* A link that stands again says first which version its entry has: a newer one than
-       * ours is on its way, and ours is no longer in force. */
+      /* The first frame of a new link reports the entry's version. If it is newer than
+       * ours, ours is no longer in force and the newer one will follow. */
       if (member->config_version > version)
         return FALSE;
     }
--- a/src/members_rows.c
+++ b/src/members_rows.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "members"
-/* The entries' rows in the platform's table: the own one written, the others read. */
+/* Entries' rows in the platform's table: writes the own row, reads the others. */
 #include "clock.h"
 #include "members_parts.h"
 
@@ -8,7 +8,7 @@
 
 #define ROW_PREFIX "entries/"
 #define ROW_TTL_S 60
-/* A row not refreshed for this long belongs to an entry that is gone. */
+/* The entry of a row not refreshed for this long has exited. */
 #define ROW_STALE_MS 35000
 
 static char *
@@ -34,14 +34,14 @@
 static void
 on_row_written (TableStatus status, GPtrArray *writes, gpointer ctx)
 {
-  /* The next refresh repairs a failed one. */
+  /* A failed write is repaired by the next refresh. */
 }
 
 void
-members_write_own_row (Members *members, gboolean gone)
+members_write_own_row (Members *members, gboolean final)
 {
   char *key = g_strdup_printf (ROW_PREFIX "%s", members_own_hello (members)->name);
-  char *value = gone ? NULL : own_row (members);
+  char *value = final ? NULL : own_row (members);
   GPtrArray *writes = table_writes_new ();
 
   table_writes_add (writes, key, value, TABLE_ANY, ROW_TTL_S);
