--- a/tests/jobs.c
+++ b/tests/jobs.c
@@ -63,7 +63,7 @@
       SentJob *job = g_new0 (SentJob, 1);
       char *body;
 
-      job->number = jobs->numbers++;
+      job->number = jobs->next_number++;
       job->tasks = tasks;
       job->run_ms = run_ms;
       body = body_of (job, more);
--- a/tests/test-agent.c
+++ b/tests/test-agent.c
@@ -1,4 +1,4 @@
-/* A real agent and its backend server, between entries that the test plays. */
+/* A real agent and its backend server; the test acts as the entries. */
 #include "cases.h"
 #include "harness.h"
 #include "link.h"
@@ -18,8 +18,8 @@
   Gw__Hello hello;
   Link *first;
   Link *second;
-  guint answers[2]; /* outcomes that came over each */
-  guint replies;    /* to fences */
+  guint answers[2]; /* outcomes received over each link */
+  guint replies;    /* fence replies */
 } Scene;
 
 static void
@@ -68,9 +68,9 @@
   return scene->replies > 0;
 }
 
-/* What an entry says first over the link it has chosen for its tasks. */
+/* The first message of an entry over the link that it uses for its tasks. */
 static void
-say_entries (Link *link)
+send_entries (Link *link)
 {
   Gw__Entry *entry = g_new (Gw__Entry, 1);
 
@@ -81,7 +81,7 @@
 }
 
 static void
-say_start (Link *link)
+send_start (Link *link)
 {
   Gw__Start *start = g_new (Gw__Start, 1);
   JobKey key = { HOLDER, 1 };
@@ -101,9 +101,9 @@
   link_append (link, LINK_STARTS, &start->base);
 }
 
-/* What a holder that has lost a home asks over a link of its own, of some other job. */
+/* Sent by a holder that has lost a home, over a separate link, for another job. */
 static void
-say_fence (Link *link)
+send_fence (Link *link)
 {
   Gw__Fence *fence = g_new (Gw__Fence, 1);
   JobKey key = { ENTRY, 2 };
@@ -118,23 +118,23 @@
 }
 
 static void
-settles_by_the_second (Scene *scene)
+reconciles_over_second (Scene *scene)
 {
-  say_entries (scene->first);
-  say_start (scene->first);
-  say_fence (scene->second);
+  send_entries (scene->first);
+  send_start (scene->first);
+  send_fence (scene->second);
   harness_wait (scene->harness, has_replied, scene, "the fence to be answered");
 }
 
-/* Both links were up; the entry says last on the one that it keeps. */
+/* Both links were up; the entry sends last over the one that it keeps. */
 static void
 dials_crossed (Scene *scene, Link *dropped, Link *kept)
 {
-  say_entries (dropped);
-  say_fence (dropped);
+  send_entries (dropped);
+  send_fence (dropped);
   harness_wait (scene->harness, has_replied, scene, "the dropped link to be used");
-  say_entries (kept);
-  say_start (kept);
+  send_entries (kept);
+  send_start (kept);
 }
 
 static void
@@ -150,45 +150,43 @@
 }
 
 static gboolean
-is_answered_by_second (gpointer ctx)
+is_answered_over_second (gpointer ctx)
 {
   const Scene *scene = ctx;
 
   return scene->answers[1] > 0;
 }
 
-/* The outcome goes over the kept link, which ends before it is acknowledged. */
+/* The link that carried the outcome closes before the acknowledgement. */
 static void
 first_ends (Scene *scene)
 {
-  say_entries (scene->first);
-  say_start (scene->first);
+  send_entries (scene->first);
+  send_start (scene->first);
   harness_wait (scene->harness, is_answered, scene, "the outcome");
   link_drop (&scene->first);
-  harness_wait (scene->harness, is_answered_by_second, scene, "the outcome again");
+  harness_wait (scene->harness, is_answered_over_second, scene, "the outcome again");
 }
 
 typedef struct
 {
   const char *name;
-  void (*play) (Scene *scene);
-  guint by_first; /* outcomes over the first link */
-  guint by_second;
+  void (*run) (Scene *scene);
+  guint over_first; /* outcomes over the first link */
+  guint over_second;
 } LinkCase;
 
 static const LinkCase link_cases[] = {
-  { "settled-by-the-second", settles_by_the_second, 1, 0 },
+  { "settled-by-the-second", reconciles_over_second, 1, 0 },
   { "dials-crossed-first-kept", first_is_kept, 1, 0 },
   { "dials-crossed-second-kept", second_is_kept, 0, 1 },
   { "first-ends", first_ends, 1, 1 },
 };
 
-/* Symptom: a slot counted as taken for good, and an answer that never arrives.
- * Sequence: an entry has two links to an agent for a moment, because both dialed at once
- *   or because it settles a lost home's jobs over a link of their own; a task that it
- *   handed over by one of them ends.
- * Cause: the agent sends the outcome over the newer link, which the entry has dropped or
- *   on which it expects no outcomes of its own tasks. */
+/* An entry has two links to an agent, after crossed dials or while it reconciles a lost
+ * home's jobs over a separate link. The agent must not send outcomes over the newer link:
+ * the entry has dropped it or ignores outcomes there, so a slot stays busy forever and an
+ * answer never arrives. */
 static void
 test_two_links (gconstpointer data)
 {
@@ -210,10 +208,10 @@
   scene.first = link_dial (&scene.links, agent);
   scene.second = link_dial (&scene.links, agent);
   harness_wait (scene.harness, both_up, &scene, "both links");
-  c->play (&scene);
+  c->run (&scene);
   harness_wait (scene.harness, is_answered, &scene, "the outcome");
-  g_assert_cmpuint (scene.answers[0], ==, c->by_first);
-  g_assert_cmpuint (scene.answers[1], ==, c->by_second);
+  g_assert_cmpuint (scene.answers[0], ==, c->over_first);
+  g_assert_cmpuint (scene.answers[1], ==, c->over_second);
   link_drop (&scene.first);
   link_drop (&scene.second);
   harness_free (scene.harness);
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -1,15 +1,15 @@
-/* Entries on narrow links, with more callers at one than at the others: whether what a
- * burst leaves behind is over soon. */
+/* Recovery after a burst of load on entries with narrow links, of which one may have more
+ * callers than the others. */
 #include "cases.h"
 #include "load_replay.h"
 
 #define LENGTH_MS 16000
 #define BURST_FROM_MS 3000
 #define BURST_TO_MS 7000
-/* After the burst, within which service must be back. */
+/* After the burst; service must have recovered by then. */
 #define RECOVERY_MS 2000
-/* Of what links without a limit earn then. */
-#define LOST_MOST 0.03
+/* Below what is earned with unlimited links, as a share of all that is owed. */
+#define MAX_LOSS 0.03
 
 /* Wide urgent jobs, long jobs and many narrow ones, a quarter of a server each. */
 static const LoadQueue mix[] = {
@@ -28,12 +28,10 @@
   guint32 seed;
 } FleetCase;
 
-/* Symptom: after a burst of some seconds an entry refuses half of its callers, or holds
- *   them until their time is over, for as long as there are callers; others serve theirs.
- * Sequence: more callers come to that entry than to the others; its link is filled by
- *   orders with payloads, wishes and the servers' states; orders come too late, are
- *   refused as too old, and are sent again.
- * Cause: nothing held back what is sent while it came late. */
+/* After a burst of some seconds the busiest entry kept refusing half of its callers, or
+ * holding them past their deadlines, while others served theirs. Orders, resource
+ * requests and server states filled its link; orders arrived late, were refused as too
+ * old and sent again, as no sends were throttled. */
 static const FleetCase cases[] = {
   { "narrow-links", 250, 1.6, 3, 7 },
   { "narrow-links-other-seed", 250, 1.6, 3, 8 },
@@ -41,9 +39,9 @@
 };
 
 static double
-part (double of, double whole)
+ratio (double part, double whole)
 {
-  return whole > 0 ? of / whole : 0;
+  return whole > 0 ? part / whole : 0;
 }
 
 static double
@@ -69,10 +67,10 @@
 
   load_replay (&init, &result);
   g_test_message ("link %.0f deaf %d: earned %.3f refused %.3f held %.3f wasted %.3f",
-                  link_bytes_per_ms, deaf, part (result.all.earned, result.all.owed),
-                  part (result.all.refused, result.all.jobs),
-                  part (result.all.held_untried, result.all.owed), result.wasted_part);
-  return part (result.all.earned, result.all.owed);
+                  link_bytes_per_ms, deaf, ratio (result.all.earned, result.all.owed),
+                  ratio (result.all.refused, result.all.jobs),
+                  ratio (result.all.held_untried, result.all.owed), result.wasted_part);
+  return ratio (result.all.earned, result.all.owed);
 }
 
 static void
@@ -82,9 +80,10 @@
 
   double wide = earned_after_burst (c, 0, FALSE);
 
+  /* Without throttling, for comparison in the log. */
   earned_after_burst (c, c->link_bytes_per_ms, TRUE);
   g_assert_cmpfloat (earned_after_burst (c, c->link_bytes_per_ms, FALSE), >=,
-                     wide - LOST_MOST);
+                     wide - MAX_LOSS);
 }
 
 int
--- a/tests/test-leaving.c
+++ b/tests/test-leaving.c
@@ -1,11 +1,11 @@
-/* A leaving backend server gets no new work; a graceful shutdown cuts off nothing. */
+/* A leaving backend server gets no new tasks; a graceful shutdown interrupts none. */
 #include "cases.h"
 #include "clock.h"
 #include "jobs.h"
 
 #include <stdlib.h>
 
-/* "After a few seconds". */
+/* Starts must end "after a few seconds". */
 #define LEAVING_LIMIT_MS 5000
 #define PRESSURE_JOBS 8
 
@@ -15,9 +15,9 @@
   Jobs *jobs;
 } Scene;
 
-/* Jobs that keep every slot busy for a good while. */
+/* Submits jobs that keep all slots busy for about @seconds. */
 static void
-press (Scene *scene, guint seconds)
+saturate (Scene *scene, guint seconds)
 {
   guint slots = scene->harness->backends->len * 8;
 
@@ -123,8 +123,8 @@
   { "store-down", 2, 0, leave_with_store_down },
 };
 
-/* Symptom: a server that is going down still gets tasks, which die with it.
- * Sequence: it leaves, in each of the ways, while every slot is wanted. */
+/* A backend server that shuts down while all slots are in demand must get no new tasks,
+ * which would be lost with it; for each way of leaving. */
 static void
 test_leave (gconstpointer data)
 {
@@ -137,7 +137,7 @@
   guint later;
 
   scene.jobs = jobs_new (scene.harness);
-  press (&scene, 8);
+  saturate (&scene, 8);
   jobs_wait_starts (scene.harness, 20);
   left_ms = clock_now_ms ();
   c->leave (&scene);
@@ -183,9 +183,9 @@
   harness_wait_page (harness, entry->http, "/ready", "ready\n");
 }
 
-/* Symptom: a rolling restart costs requests in flight.
- * Sequence: SIGTERM to one process after the other, each replaced, jobs coming all along;
- * callers go to entries that are not leaving, as the balancer sees to. */
+/* A rolling restart must not lose requests in flight: SIGTERM to one process after the
+ * other, each restarted, under steady load. Callers avoid leaving entries, as a load
+ * balancer would make them. */
 static void
 test_roll (gconstpointer data)
 {
@@ -213,7 +213,7 @@
   harness_free (harness);
 }
 
-/* Symptom: a lone entry that leaves cuts off what it holds, or never ends. */
+/* A single leaving entry must finish the jobs it holds, then exit. */
 static void
 test_last_entry_leaves (void)
 {
