--- a/src/members.c
+++ b/src/members.c
@@ -7,8 +7,7 @@
 #include <string.h>
 
 #define TICK_MS 100
-/* A lost link is redialed at once; if it is not up again after this, the entry is lost.
- */
+/* A lost link is redialed at once; if not up again after this, the entry is lost. */
 #define SUSPECT_MS 1000
 #define REDIAL_MS 500
 #define REDIAL_DOWN_MS 2000
