--- a/src/agent_frames.c
+++ b/src/agent_frames.c
@@ -1,11 +1,11 @@
 #define LOG_MODULE "agent"
-/* What entries say over their links, and what they are told. */
+/* Frames from and to entries. */
 #include "agent_parts.h"
 #include "clock.h"
 #include "messages.h"
 #include "timeline.h"
 
-/* An entry that handed over a task this recently is told at once of slots others take. */
+/* Entries that started a task this recently are sent load changes at once. */
 #define ACTIVE_MS 3000
 
 void
@@ -19,16 +19,16 @@
                     owner_leaving (owner), urgent);
 }
 
-/* Slots that one entry takes or frees matter to the others that place tasks here. */
+/* Other entries that place tasks here need to know of slots taken or freed. */
 static void
-send_load_to_others (Agent *agent, guint64 asker)
+send_load_to_others (Agent *agent, guint64 requester)
 {
   gint64 now = clock_now_ms ();
   AgentLink *record;
 
   for (record = agent_peers_first (agent->peers); record != NULL;
        record = TAILQ_NEXT (record, link_entry))
-    if (record->incarnation != asker && record->incarnation != 0)
+    if (record->incarnation != requester && record->incarnation != 0)
       agent_send_load (agent, record, now - record->start_ms < ACTIVE_MS);
 }
 
@@ -42,15 +42,15 @@
 }
 
 void
-agent_on_tell (const OwnerTask *task, gpointer ctx)
+agent_on_report (const OwnerTask *task, gpointer ctx)
 {
   Agent *agent = ctx;
 
   send_outcome (agent, task, task->receiver);
-  if (task->asker != task->receiver)
-    send_outcome (agent, task, task->asker);
+  if (task->requester != task->receiver)
+    send_outcome (agent, task, task->requester);
   if (task->state == OWNER_DONE)
-    send_load_to_others (agent, task->asker);
+    send_load_to_others (agent, task->requester);
 }
 
 static void
@@ -112,7 +112,7 @@
   g_ptr_array_unref (started);
 }
 
-/* Entries are named only over the link that the sender has chosen for its tasks. */
+/* An entry sends its list of entries only over the link that it uses for its tasks. */
 static void
 take_entries (Agent *agent, AgentLink *record, const Gw__Frame *frame)
 {
@@ -134,7 +134,7 @@
   if (record == NULL)
     return;
   take_entries (agent, record, frame);
-  /* A fence that shares a frame with a start is about earlier ones. */
+  /* A fence in the same frame as a start applies to earlier starts. */
   for (gsize i = 0; i < frame->n_fences; i++)
     take_fence (agent, record, frame->fences[i]);
   for (gsize i = 0; i < frame->n_acks; i++)
@@ -151,7 +151,7 @@
   if (record == NULL)
     return;
   agent_send_load (agent, record, TRUE);
-  owner_retell (agent_owner (agent), record->incarnation);
+  owner_resend (agent_owner (agent), record->incarnation);
 }
 
 static void
@@ -162,10 +162,10 @@
   guint64 incarnation = record != NULL ? record->incarnation : 0;
 
   agent_peers_link_down (agent->peers, link);
-  /* What was sent over it may be lost, and no other link need come up to tell it again:
-   * an entry that is a home here no more keeps only the link by which it settles. */
+  /* Outcomes sent over it may be lost, and there may be no link_up to resend them on: an
+   * entry that is no longer a home here keeps only the link it reconciles over. */
   if (incarnation != 0 && agent_peers_link_to (agent->peers, incarnation) != NULL)
-    owner_retell (agent_owner (agent), incarnation);
+    owner_resend (agent_owner (agent), incarnation);
 }
 
 const LinkOps agent_link_ops = { on_up, on_frame, on_down, NULL };
--- a/src/members_parts.h
+++ b/src/members_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the parts of the membership share. members.c keeps links, members_rank.c the
- * ranks of entries for a group, members_rows.c the rows of the platform's table. */
+/* Shared by the parts of the membership: members.c keeps links, members_rank.c ranks the
+ * entries for a group, members_rows.c syncs with the platform's table. */
 #include "members.h"
 
 #define ROW_REFRESH_MS 10000
@@ -17,14 +17,14 @@
   struct event *poll;
   gboolean polling;
   gboolean leaving;
-  guint64 given_up; /* counts members given up */
+  guint64 given_up; /* number of times a member was declared dead */
   gint64 row_written_ms;
   TAILQ_HEAD (, Member) list;
 };
 
 /* members.c */
 const Gw__Hello *members_own_hello (const Members *members);
-Member *members_member_by_name (const Members *members, const char *name);
+Member *members_by_name (const Members *members, const char *name);
 gboolean members_is_self (const Members *members, const char *name);
 void members_learn_entry (Members *members,
                           const char *name,
@@ -34,5 +34,5 @@
                           const char *http_address);
 
 /* members_rows.c */
-void members_write_own_row (Members *members, gboolean gone);
+void members_write_own_row (Members *members, gboolean final);
 void members_on_poll (evutil_socket_t fd, short what, void *ctx);
