--- a/src/config.c
+++ b/src/config.c
@@ -55,7 +55,7 @@
 static void change_read (Change *change);
 
 gboolean
-config_offer (Config *config, guint64 version, const char *token, const char *body)
+config_adopt (Config *config, guint64 version, const char *token, const char *body)
 {
   Findings *findings;
   Fleet *fleet;
@@ -98,7 +98,7 @@
 take_row (Config *config, const ConfigRow *row)
 {
   config->confirmed_ms = clock_now_ms ();
-  config_offer (config, row->version, config_row_token (row), row->body);
+  config_adopt (config, row->version, config_row_token (row), row->body);
 }
 
 static void
--- a/src/config.h
+++ b/src/config.h
@@ -65,9 +65,9 @@
  */
 gboolean config_confirmed (const Config *config);
 
-/** config_offer - a peer's configuration. Return: whether it was newer and is adopted. */
+/** config_adopt - a peer's configuration. Return: whether it was newer and is adopted. */
 gboolean
-config_offer (Config *config, guint64 version, const char *token, const char *body);
+config_adopt (Config *config, guint64 version, const char *token, const char *body);
 
 /**
  * config_change - set one key (or remove it, @value NULL) for the whole fleet.
--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -51,7 +51,7 @@
 take_config (Entry *entry, const Gw__Frame *frame)
 {
   if (frame->config != NULL)
-    config_offer (entry->config, frame->config->version, frame->config->token,
+    config_adopt (entry->config, frame->config->version, frame->config->token,
                   frame->config->body);
 }
 
--- a/tests/test-properties.cc
+++ b/tests/test-properties.cc
@@ -316,7 +316,7 @@
     {
       guint64 before = config_version (config);
 
-      config_offer (config, version % 50, "t", "{}");
+      config_adopt (config, version % 50, "t", "{}");
       highest = std::max<guint64> (highest, version % 50);
       RC_ASSERT (config_version (config) >= before);
       RC_ASSERT (config_version (config) == highest);
