--- a/src/config.c
+++ b/src/config.c
@@ -12,10 +12,9 @@
 #define CHANGE_TRIES 8
 #define READBACK_LIMIT_MS 6000
 #define RETRY_MS 100
-/* How long an accepted change may take to be known by the linked peers before the
- * operator is answered all the same. */
-#define SPREAD_LIMIT_MS 2000
-#define SPREAD_CHECK_MS 5
+/* An accepted change is acknowledged after this time even if linked peers lack it. */
+#define PROPAGATION_LIMIT_MS 2000
+#define PROPAGATION_CHECK_MS 5
 
 struct Config
 {
@@ -31,7 +30,7 @@
   char *token;
   char *body;
   gboolean known;
-  gint64 confirmed_ms; /* last read of the table; 0 for never */
+  gint64 confirmed_ms; /* last read of the table; 0: never */
   TAILQ_HEAD (, Change) changes;
 };
 
@@ -44,7 +43,7 @@
   gint64 if_version;
   char *token;
   guint tries;
-  gint64 written_ms; /* start of the uncertainty about a write; 0: none */
+  gint64 written_ms; /* when a write ended with unknown result; 0: none has */
   guint64 accepted_version;
   gint64 accepted_ms;
   struct event *timer;
@@ -73,7 +72,7 @@
   findings_free (findings);
   if (fleet == NULL)
     {
-      log_err ("version %" G_GUINT64_FORMAT " cannot be read and is not adopted",
+      log_err ("version %" G_GUINT64_FORMAT " is not adopted: its body is invalid",
                version);
       return FALSE;
     }
@@ -95,7 +94,7 @@
 }
 
 static void
-take_row (Config *config, const ConfigRow *row)
+adopt_row (Config *config, const ConfigRow *row)
 {
   config->confirmed_ms = clock_now_ms ();
   config_adopt (config, row->version, config_row_token (row), row->body);
@@ -113,7 +112,7 @@
   else if (status == TABLE_OK)
     row = config_row_parse (table_row->value);
   if (row != NULL)
-    take_row (config, row);
+    adopt_row (config, row);
   config_row_free (row);
 }
 
@@ -244,18 +243,18 @@
   event_add (change->timer, &delay);
 }
 
-/* The operator is told "accepted" once the linked peers know the version: should this
- * entry and the table be lost together right afterwards, it still spreads from them. */
+/* Acknowledges the change only once the linked peers have the version: if this entry and
+ * the table fail right afterwards, the peers still propagate it. */
 static void
-check_spread (Change *change)
+check_propagation (Change *change)
 {
   Config *config = change->config;
 
   if (config->ops->peers_have (change->accepted_version, config->ctx)
-      || clock_now_ms () - change->accepted_ms > SPREAD_LIMIT_MS)
+      || clock_now_ms () - change->accepted_ms > PROPAGATION_LIMIT_MS)
     change_end (change, CONFIG_ACCEPTED, change->accepted_version, NULL);
   else
-    change_wait (change, SPREAD_CHECK_MS);
+    change_wait (change, PROPAGATION_CHECK_MS);
 }
 
 static void
@@ -263,15 +262,15 @@
 {
   change->accepted_version = version;
   change->accepted_ms = clock_now_ms ();
-  check_spread (change);
+  check_propagation (change);
 }
 
 static void
 change_conflict (Change *change, const ConfigRow *row)
 {
-  char *message
-      = g_strdup_printf ("version %" G_GUINT64_FORMAT " stands, written with token %s",
-                         row->version, config_row_token (row));
+  char *message = g_strdup_printf ("version %" G_GUINT64_FORMAT
+                                   " is current, written with token %s",
+                                   row->version, config_row_token (row));
 
   change_end (change, CONFIG_CONFLICT, row->version, message);
   g_free (message);
@@ -287,13 +286,13 @@
   if (status == TABLE_NOT_SENT)
     {
       change_end (change, CONFIG_UNAVAILABLE, change->config->version,
-                  "the table is out of reach");
+                  "the table is unreachable");
       return;
     }
   if (status != TABLE_OK)
     {
-      /* The write may have taken effect although its answer was lost: only the row tells.
-       */
+      /* The write may have taken effect although its response was lost: read the row
+       * back to find out. */
       change->written_ms = clock_now_ms ();
       change_wait (change, RETRY_MS);
       return;
@@ -304,7 +303,7 @@
       return;
     }
   row = config_row_parse (write->value);
-  take_row (change->config, row);
+  adopt_row (change->config, row);
   change_accepted (change, row->version);
   config_row_free (row);
 }
@@ -373,14 +372,14 @@
     row = config_row_parse (table_row->value);
   if (row != NULL)
     {
-      take_row (change->config, row);
+      adopt_row (change->config, row);
       change_decide (change, row, status == TABLE_OK ? table_row->version : 0);
       config_row_free (row);
       return;
     }
   if (change->written_ms == 0)
     change_end (change, CONFIG_UNAVAILABLE, change->config->version,
-                "the table is out of reach");
+                "the table is unreachable");
   else if (clock_now_ms () - change->written_ms > READBACK_LIMIT_MS)
     change_end (change, CONFIG_UNCERTAIN, change->config->version, change->token);
   else
@@ -399,7 +398,7 @@
   Change *change = ctx;
 
   if (change->accepted_version > 0)
-    check_spread (change);
+    check_propagation (change);
   else
     change_read (change);
 }
--- a/src/config_row.c
+++ b/src/config_row.c
@@ -1,12 +1,11 @@
-/* The row of the platform's table that holds the fleet's configuration. */
 #include "config_row.h"
 
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* Tokens of the last writes stay in the row: one whose answer was lost is found there
- * even after others have written on top of it. */
-#define TOKENS_KEPT 32
+/* The row keeps the tokens of recent changes, so that one whose response was lost can be
+ * recognised even after others have written newer versions. */
+#define MAX_TOKENS 32
 
 void
 config_row_free (ConfigRow *row)
@@ -65,7 +64,7 @@
 
   json_object_set_int_member (object, "version", (gint64)row->version);
   json_object_set_string_member (object, "body", row->body);
-  for (guint i = 0; i < row->tokens->len && i < TOKENS_KEPT; i++)
+  for (guint i = 0; i < row->tokens->len && i < MAX_TOKENS; i++)
     json_array_add_string_element (tokens, g_ptr_array_index (row->tokens, i));
   json_object_set_array_member (object, "tokens", tokens);
   json_node_take_object (root, object);
--- a/src/table.c
+++ b/src/table.c
@@ -5,12 +5,12 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-#define WRITES_AT_ONCE 4
-/* Apart from the writes: many claims that wait for a slow table would keep the entry from
- * seeing a new configuration. */
-#define READS_AT_ONCE 2
-/* A call is given up after this many times the operator's limit; a write fewer, since a
- * keyed job is refused after three seconds without its claim. */
+#define MAX_WRITES 4
+/* Reads have connections of their own: on a slow table, many key claims would otherwise
+ * keep the entry from reading a new configuration. */
+#define MAX_READS 2
+/* A call fails after this many times table.timeout_ms; a write sooner, since a keyed job
+ * is refused after three seconds without its claim. */
 #define READ_FACTOR 4
 #define WRITE_FACTOR 2
 #define ROWS_PATH "/v1/tables/godwitspar/rows"
@@ -77,8 +77,8 @@
 Table *
 table_new (struct event_base *base, const char *address, guint timeout_ms)
 {
-  TableCallsInit reads = { READS_AT_ONCE, timeout_ms, READ_FACTOR * timeout_ms };
-  TableCallsInit writes = { WRITES_AT_ONCE, timeout_ms, WRITE_FACTOR * timeout_ms };
+  TableCallsInit reads = { MAX_READS, timeout_ms, READ_FACTOR * timeout_ms };
+  TableCallsInit writes = { MAX_WRITES, timeout_ms, WRITE_FACTOR * timeout_ms };
   Table *table = g_new0 (Table, 1);
 
   address = address != NULL ? address : "127.0.0.1:1";
@@ -109,7 +109,7 @@
   return answer->status == 404 ? TABLE_MISSING : TABLE_UNKNOWN;
 }
 
-/* Return: the answer's JSON object, or NULL. */
+/* Returns the JSON object in the body, or NULL. */
 static JsonNode *
 answer_object (const HttpAnswer *answer)
 {
--- a/src/table.h
+++ b/src/table.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The platform's table service: rows with versions, read singly or by prefix, written in
- * batches of conditional writes. */
+/* Client of the platform's table service: versioned rows, read singly or by prefix,
+ * written in batches of conditional writes. */
 #include <event2/event.h>
 #include <glib.h>
 
@@ -10,8 +10,8 @@
 {
   TABLE_OK,
   TABLE_MISSING,
-  TABLE_NOT_SENT, /* the request never left: nothing was written */
-  TABLE_UNKNOWN,  /* no answer: a write may have taken effect */
+  TABLE_NOT_SENT, /* no byte of the request was sent: nothing was written */
+  TABLE_UNKNOWN,  /* no valid response: a write may have taken effect */
 } TableStatus;
 
 typedef struct
@@ -21,7 +21,7 @@
   char *value;
 } TableRow;
 
-/* A conditional write and, once answered, what became of it. */
+/* A conditional write and its result. */
 typedef struct
 {
   char *key;
@@ -29,8 +29,8 @@
   gint64 if_version; /* 0: the row must not exist; TABLE_ANY: no condition */
   guint ttl_s;       /* the platform drops the row after this long; 0: never */
   gboolean done;     /* out: written */
-  gint64 version;    /* out: the row's version now, 0 if it does not exist */
-  char *found;       /* out: the value that stood in the way, or NULL */
+  gint64 version;    /* out: the row's current version, 0 if it does not exist */
+  char *found;       /* out: the existing value if the condition failed, or NULL */
 } TableWrite;
 
 #define TABLE_ANY (-1)
@@ -39,7 +39,12 @@
 typedef void (*TableListDone) (TableStatus status, GPtrArray *rows, gpointer ctx);
 typedef void (*TableWriteDone) (TableStatus status, GPtrArray *writes, gpointer ctx);
 
-/** table_new - client of the service at "ip:port"; NULL address: always not sent. */
+/**
+ * table_new - client of the service at @address, "ip:port"; NULL: every call ends with
+ * TABLE_NOT_SENT.
+ * @timeout_ms: a call without response is repeated after this time; a read fails after
+ * four times this time, a write after twice.
+ */
 Table *table_new (struct event_base *base, const char *address, guint timeout_ms);
 void table_free (Table *table);
 
--- a/src/table_calls.c
+++ b/src/table_calls.c
@@ -6,10 +6,11 @@
 #include <string.h>
 #include <sys/queue.h>
 
-/* Between two pieces of an answer: a lost packet comes again after about a second. */
+/* Timeout between two pieces of a response: a lost packet is retransmitted after about a
+ * second. */
 #define SILENCE_MS 1500
-/* Of the time until a call is made again: the most by which that is put off. */
-#define SPREAD_PART 4
+/* Largest random delay of a repeat, as a divisor of the timeout. */
+#define JITTER_DIVISOR 4
 
 typedef struct Call
 {
@@ -18,8 +19,8 @@
   enum evhttp_cmd_type method;
   char *path;
   char *body;
-  HedgedCall *hedged; /* NULL: waits its turn */
-  struct event *limit;
+  HedgedCall *hedged; /* NULL: queued */
+  struct event *deadline;
   HttpDone done;
   gpointer ctx;
 } Call;
@@ -29,25 +30,25 @@
   struct event_base *base;
   HttpPool *pool;
   HedgePolicy policy;
-  guint at_once;
-  guint under_way;
+  guint max_active;
+  guint n_active;
   guint limit_ms;
-  TAILQ_HEAD (, Call) waiting;
-  TAILQ_HEAD (, Call) made;
+  TAILQ_HEAD (, Call) queued;
+  TAILQ_HEAD (, Call) active;
 };
 
-static void pump (TableCalls *calls);
+static void start_queued (TableCalls *calls);
 
 static void
 call_free (Call *call)
 {
-  event_free (call->limit);
+  event_free (call->deadline);
   g_free (call->path);
   g_free (call->body);
   g_free (call);
 }
 
-/* Takes the call. */
+/* Reports the result and frees the call. */
 static void
 finish (Call *call, const HttpAnswer *answer)
 {
@@ -55,12 +56,12 @@
 
   if (call->hedged != NULL)
     {
-      TAILQ_REMOVE (&calls->made, call, link);
-      calls->under_way--;
+      TAILQ_REMOVE (&calls->active, call, link);
+      calls->n_active--;
     }
   else
     {
-      TAILQ_REMOVE (&calls->waiting, call, link);
+      TAILQ_REMOVE (&calls->queued, call, link);
     }
   call->done (answer, call->ctx);
   call_free (call);
@@ -85,14 +86,14 @@
   TableCalls *calls = call->calls;
 
   finish (call, answer);
-  pump (calls);
+  start_queued (calls);
 }
 
 static const HedgedOps hedged_ops = { on_attempt_failed, on_repeated, on_done };
 
-/* End a call that has no answer. */
+/* Ends a call that has no response. */
 static void
-give_up (Call *call, gboolean timed_out)
+abort_call (Call *call, gboolean timed_out)
 {
   HedgedCall *hedged = call->hedged;
   HttpAnswer answer
@@ -103,18 +104,18 @@
 }
 
 static void
-on_limit (evutil_socket_t fd, short what, void *ctx)
+on_deadline (evutil_socket_t fd, short what, void *ctx)
 {
   Call *call = ctx;
   TableCalls *calls = call->calls;
 
   counter_add (COUNTER_TABLE_TIMEOUTS, 1);
-  give_up (call, TRUE);
-  pump (calls);
+  abort_call (call, TRUE);
+  start_queued (calls);
 }
 
 static void
-make (Call *call)
+start (Call *call)
 {
   static const char *const json_headers[] = { "Content-Type", "application/json", NULL };
   TableCalls *calls = call->calls;
@@ -125,18 +126,18 @@
                             .patience_ms = calls->limit_ms,
                             .silence_ms = SILENCE_MS };
 
-  TAILQ_REMOVE (&calls->waiting, call, link);
-  TAILQ_INSERT_TAIL (&calls->made, call, link);
-  calls->under_way++;
+  TAILQ_REMOVE (&calls->queued, call, link);
+  TAILQ_INSERT_TAIL (&calls->active, call, link);
+  calls->n_active++;
   call->hedged = hedged_call_new (calls->base, calls->pool, &calls->policy, &request,
                                   &hedged_ops, call);
 }
 
 static void
-pump (TableCalls *calls)
+start_queued (TableCalls *calls)
 {
-  while (calls->under_way < calls->at_once && !TAILQ_EMPTY (&calls->waiting))
-    make (TAILQ_FIRST (&calls->waiting));
+  while (calls->n_active < calls->max_active && !TAILQ_EMPTY (&calls->queued))
+    start (TAILQ_FIRST (&calls->queued));
 }
 
 TableCalls *
@@ -146,15 +147,15 @@
   guint max_in_flight = 1 + init->limit_ms / init->timeout_ms;
 
   calls->base = base;
-  calls->at_once = init->at_once;
+  calls->max_active = init->max_active;
   calls->limit_ms = init->limit_ms;
   calls->policy.after_ms = init->timeout_ms;
-  calls->policy.jitter_ms = init->timeout_ms / SPREAD_PART;
+  calls->policy.jitter_ms = init->timeout_ms / JITTER_DIVISOR;
   calls->policy.stall_ms = init->timeout_ms;
   calls->policy.max_in_flight = max_in_flight;
-  calls->pool = http_pool_new (base, address, init->at_once * max_in_flight);
-  TAILQ_INIT (&calls->waiting);
-  TAILQ_INIT (&calls->made);
+  calls->pool = http_pool_new (base, address, init->max_active * max_in_flight);
+  TAILQ_INIT (&calls->queued);
+  TAILQ_INIT (&calls->active);
   return calls;
 }
 
@@ -163,10 +164,10 @@
 {
   Call *call;
 
-  while ((call = TAILQ_FIRST (&calls->waiting)) != NULL)
-    give_up (call, FALSE);
-  while ((call = TAILQ_FIRST (&calls->made)) != NULL)
-    give_up (call, FALSE);
+  while ((call = TAILQ_FIRST (&calls->queued)) != NULL)
+    abort_call (call, FALSE);
+  while ((call = TAILQ_FIRST (&calls->active)) != NULL)
+    abort_call (call, FALSE);
   http_pool_free (calls->pool);
   g_free (calls);
 }
@@ -188,8 +189,8 @@
   call->body = g_strdup (body);
   call->done = done;
   call->ctx = ctx;
-  call->limit = evtimer_new (calls->base, on_limit, call);
-  event_add (call->limit, &limit);
-  TAILQ_INSERT_TAIL (&calls->waiting, call, link);
-  pump (calls);
+  call->deadline = evtimer_new (calls->base, on_deadline, call);
+  event_add (call->deadline, &limit);
+  TAILQ_INSERT_TAIL (&calls->queued, call, link);
+  start_queued (calls);
 }
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -1,4 +1,4 @@
-/* An accepted configuration is in force everywhere within seconds and never reverts. */
+/* An accepted configuration reaches every entry within seconds and is never reverted. */
 #include "cases.h"
 #include "clock.h"
 #include "harness.h"
@@ -7,10 +7,10 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* The letter's bound for the fleet; what is measured is far below and printed. */
+/* Required bound for the whole fleet; the measured time is printed. */
 #define IN_FORCE_LIMIT_MS 13000
 #define TABLE_WRITES 8
-/* Far below the 1.5 s that a late write takes, far above the few ms of a read. */
+/* Between the few ms of a read and the 1.5 s of a late write. */
 #define READ_LIMIT_MS 500
 
 static Exchange *
@@ -77,8 +77,8 @@
                   version, clock_now_ms () - begun);
 }
 
-/* Symptom: two operators change the same thing and the later answer does not win, or both
- * believe that their condition held. */
+/* Of concurrent changes with the same if_version exactly one is accepted; guards against
+ * a lost update and against two operators being told that their condition held. */
 static void
 test_race (void)
 {
@@ -101,7 +101,7 @@
       if (exchanges[i]->status != 200)
         {
           g_assert_cmpint (exchanges[i]->status, ==, 409);
-          g_assert_nonnull (strstr (exchanges[i]->body, "version 1 stands"));
+          g_assert_nonnull (strstr (exchanges[i]->body, "version 1 is current"));
         }
       exchange_free (exchanges[i]);
     }
@@ -147,8 +147,8 @@
   harness_free (harness);
 }
 
-/* Symptom: the write took effect, its answer was lost, and the operator is told "failed".
- * Cause: an unknown result taken for a failure; the row's own token tells. */
+/* A write that took effect but whose response was lost must not be reported as failed:
+ * the token in the row shows that it was applied. */
 static void
 test_answer_lost (void)
 {
@@ -165,10 +165,8 @@
 
 #define SLOW_TABLE_ADAPTS_MS 3000
 
-/* Symptom: no change is accepted and none is seen while the table is slow, though it does
- *   all that it is asked.
- * Sequence: the table answers after 700 ms, each read is ended after 400 ms and begun
- * anew. Cause: a limit that does not follow how slow the other end is. */
+/* A table that answers after 700 ms, with table.timeout_ms = 400: if each read is aborted
+ * at the timeout and started again, no change is ever accepted or seen. */
 static void
 test_slow_table (void)
 {
@@ -217,10 +215,9 @@
   return *(guint *)ctx == TABLE_WRITES;
 }
 
-/* Symptom: an entry that takes many keyed jobs does not see a new configuration.
- * Sequence: writes are answered after 1.5 s; they take every connection to the table;
- *   reads wait for their turn until their own limit is over.
- * Cause: one pool of connections for both. */
+/* An entry with many keyed jobs must still see a new configuration: with one connection
+ * pool for both, writes that take 1.5 s occupy every connection and queued reads time
+ * out. */
 static void
 test_reads_beside_slow_writes (void)
 {
@@ -252,7 +249,8 @@
   harness_free (harness);
 }
 
-/* Symptom: an accepted version is known to one entry only when the store goes down. */
+/* The table and the entry that accepted a change fail right after its acknowledgement:
+ * the other entries must already have the version. */
 static void
 test_store_down_right_after (void)
 {
@@ -267,7 +265,8 @@
   harness_free (harness);
 }
 
-/* Symptom: a process started while the store is down runs with defaults. */
+/* An entry started while the table is down must take the configuration from its peers,
+ * not run with defaults. */
 static void
 test_started_while_store_down (void)
 {
@@ -286,7 +285,8 @@
   harness_free (harness);
 }
 
-/* Alone with the store down, nothing can tell the version: it must not become ready. */
+/* With neither table nor peers an entry cannot learn the version: it must not become
+ * ready. */
 static void
 test_alone_while_store_down (void)
 {
@@ -309,9 +309,9 @@
   harness_free (harness);
 }
 
-/* Symptom: an entry that slept through a drain places on the drained server on waking.
- * Sequence: SIGSTOP, the drain accepted elsewhere, SIGCONT.
- * Cause: it acts on the version it knew before it looks at the clock. */
+/* An entry that is stopped while a drain is accepted elsewhere must not place tasks on
+ * the drained server after SIGCONT: it has to check the age of its version before acting.
+ */
 static void
 test_frozen_wakes (void)
 {
@@ -327,7 +327,7 @@
   version
       = accepted (harness, change (harness, 0, "drain.backend.agent-0", "true", NULL));
   harness_run_ms (harness, 3000);
-  /* These wait in its socket and are read first on waking. */
+  /* These are buffered in its socket and read first after SIGCONT. */
   for (guint i = 0; i < G_N_ELEMENTS (exchanges); i++)
     exchanges[i] = harness_call (harness, frozen->http, EVHTTP_REQ_POST,
                                  "/v1/services/exchange", "20:x");
@@ -354,8 +354,8 @@
   exchange_free (exchange);
 }
 
-/* Symptom: an entry cut off from store and peers goes on with its old version for good.
- * Sequence: the store hangs and the only peer is stopped, so that it may know more. */
+/* An entry must not use its version indefinitely while the table hangs and its only peer
+ * is stopped, since the peer may know a newer version. */
 static void
 test_cut_off_refuses (void)
 {
@@ -379,7 +379,8 @@
   harness_free (harness);
 }
 
-/* A peer proved dead knows nothing more: its death must not stop the others. */
+/* A peer proved dead cannot know a newer version: while the table is down too, the other
+ * entry must go on taking work. */
 static void
 test_store_down_and_peer_killed (void)
 {
@@ -395,7 +396,7 @@
   harness_free (harness);
 }
 
-/* Symptom: after everything was restarted, an older version is in force. */
+/* A rolling restart of all entries must not bring back an older version. */
 static void
 test_rolled_restart (void)
 {
