--- a/src/http.c
+++ b/src/http.c
@@ -9,16 +9,14 @@
 #include <string.h>
 #include <sys/queue.h>
 
-/* An open connection that lay idle may have been forgotten by something between the two
- * ends: a request on it would vanish, and its fate be unknown. Younger ones are reused.
- */
+/* Connections idle for longer are not reused: a middlebox may have dropped their state,
+ * so that a request is lost and its result unknown. */
 #define IDLE_REUSE_MS 2000
-/* Unacknowledged bytes or unanswered keepalive probes for this long: the peer's machine
- * is gone. A working peer's kernel answers both, however long its task takes. */
-#define PEER_GONE_MS 4000
-/* The largest answer that is read: a peer that sends without end would fill the memory.
- */
-#define ANSWER_MOST_BYTES (32 << 20)
+/* A peer that acknowledges neither data nor keepalive probes for this long is dead: its
+ * kernel answers both, however long the task takes. */
+#define PEER_DEAD_MS 4000
+/* Bounds the memory that a peer which never stops sending can take. */
+#define MAX_ANSWER_BYTES (32 << 20)
 
 typedef struct HttpConn HttpConn;
 
@@ -37,8 +35,8 @@
   guint silence_ms;
   gsize received;
   gint64 called_ms;
-  gint64 begun_ms; /* when the answer's first byte came; 0: none has */
-  gint64 heard_ms;
+  gint64 begun_ms; /* time of the response's first byte; 0: none yet */
+  gint64 received_ms;
   gboolean fresh;
   void (*heard) (gpointer ctx);
   gboolean sent;
@@ -52,7 +50,7 @@
   struct evhttp_connection *evcon;
   HttpJob *job;
   gint64 idle_ms;
-  gboolean doomed;
+  gboolean closing;
 };
 
 struct HttpPool
@@ -66,7 +64,7 @@
   TAILQ_HEAD (, HttpConn) conns;
   TAILQ_HEAD (, HttpJob) waiting;
   struct event *sweep;
-  struct event *kick;
+  struct event *wake;
   gboolean freeing;
 };
 
@@ -112,8 +110,8 @@
   g_free (conn);
 }
 
-/* Bytes entering the output buffer are the proof that the connection stood and the
- * request was handed to it; none ever entered while connecting. */
+/* evhttp writes the request to the output buffer only once connected, so any byte added
+ * means that the request may have been sent. */
 static void
 on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *ctx)
 {
@@ -133,9 +131,9 @@
   if (job == NULL || info->n_added == 0)
     return;
   job->received += info->n_added;
-  job->heard_ms = clock_now_ms ();
+  job->received_ms = clock_now_ms ();
   if (job->begun_ms == 0)
-    job->begun_ms = job->heard_ms;
+    job->begun_ms = job->received_ms;
   if (job->silence_ms > 0)
     {
       silence = timeval_from_ms (job->silence_ms);
@@ -146,11 +144,11 @@
 }
 
 static void
-set_peer_gone_timeout (HttpConn *conn)
+set_socket_options (HttpConn *conn)
 {
   evutil_socket_t fd
       = bufferevent_getfd (evhttp_connection_get_bufferevent (conn->evcon));
-  unsigned timeout_ms = PEER_GONE_MS;
+  unsigned timeout_ms = PEER_DEAD_MS;
   int one = 1;
   int idle_s = 2;
   int interval_s = 1;
@@ -174,7 +172,7 @@
   conn->evcon = evhttp_connection_base_new (pool->base, NULL, pool->ip, pool->port);
   evhttp_connection_set_retries (conn->evcon, 0);
   evhttp_connection_set_timeout (conn->evcon, 3600);
-  evhttp_connection_set_max_body_size (conn->evcon, ANSWER_MOST_BYTES);
+  evhttp_connection_set_max_body_size (conn->evcon, MAX_ANSWER_BYTES);
   bev = evhttp_connection_get_bufferevent (conn->evcon);
   evbuffer_add_cb (bufferevent_get_output (bev), on_output, conn);
   evbuffer_add_cb (bufferevent_get_input (bev), on_input, conn);
@@ -183,8 +181,7 @@
   return conn;
 }
 
-/* Return: a connection to use, new if need be, or NULL if as many as may be are in use.
- */
+/* Returns an idle connection or a new one, or NULL if the limit is reached. */
 static HttpConn *
 conn_take (HttpPool *pool, const HttpJob *job)
 {
@@ -195,7 +192,7 @@
   for (conn = TAILQ_FIRST (&pool->conns); conn != NULL; conn = next)
     {
       next = TAILQ_NEXT (conn, link);
-      if (conn->job != NULL || conn->doomed)
+      if (conn->job != NULL || conn->closing)
         continue;
       if (!job->fresh && now - conn->idle_ms <= pool->idle_ms)
         return conn;
@@ -210,13 +207,13 @@
 {
   conn->job = NULL;
   conn->idle_ms = clock_now_ms ();
-  conn->doomed = !reusable;
-  /* evhttp still uses the connection after its callback: dispose of it from the loop. */
-  event_active (conn->pool->kick, EV_TIMEOUT, 0);
+  conn->closing = !reusable;
+  /* evhttp still uses the connection after its callback: free it from the event loop. */
+  event_active (conn->pool->wake, EV_TIMEOUT, 0);
 }
 
 static HttpAnswer
-answer_of (const HttpJob *job)
+partial_answer (const HttpJob *job)
 {
   gint64 until = job->begun_ms > 0 ? job->begun_ms : clock_now_ms ();
   HttpAnswer answer = { .end = job->sent ? HTTP_BROKEN : HTTP_NOT_SENT,
@@ -244,12 +241,12 @@
 {
   HttpJob *job = ctx;
   HttpConn *conn = job->conn;
-  HttpAnswer answer = answer_of (job);
-  gboolean whole = request != NULL && evhttp_request_get_response_code (request) != 0;
+  HttpAnswer answer = partial_answer (job);
+  gboolean complete = request != NULL && evhttp_request_get_response_code (request) != 0;
 
-  if (whole)
+  if (complete)
     fill_answer (&answer, request);
-  finish_conn (conn, whole);
+  finish_conn (conn, complete);
   job_end (job, &answer);
   job_free (job);
 }
@@ -286,7 +283,7 @@
       job_free (job);
       return;
     }
-  set_peer_gone_timeout (conn);
+  set_socket_options (conn);
 }
 
 static void
@@ -306,7 +303,7 @@
 }
 
 static void
-free_doomed (HttpPool *pool)
+free_closing (HttpPool *pool)
 {
   HttpConn *conn;
   HttpConn *next;
@@ -314,15 +311,15 @@
   for (conn = TAILQ_FIRST (&pool->conns); conn != NULL; conn = next)
     {
       next = TAILQ_NEXT (conn, link);
-      if (conn->doomed && conn->job == NULL)
+      if (conn->closing && conn->job == NULL)
         conn_free (conn);
     }
 }
 
 static void
-on_kick (evutil_socket_t fd, short what, void *ctx)
+on_wake (evutil_socket_t fd, short what, void *ctx)
 {
-  free_doomed (ctx);
+  free_closing (ctx);
   pool_pump (ctx);
 }
 
@@ -342,7 +339,7 @@
     }
 }
 
-/* Take a job that has not ended from its connection, or from those that wait for one. */
+/* Removes an unfinished job from its connection or from the queue. */
 static void
 detach (HttpJob *job)
 {
@@ -357,14 +354,14 @@
   /* Freeing the connection drops its request without a callback. */
   conn->job = NULL;
   conn_free (conn);
-  event_active (pool->kick, EV_TIMEOUT, 0);
+  event_active (pool->wake, EV_TIMEOUT, 0);
 }
 
 static void
 on_timeout (evutil_socket_t fd, short what, void *ctx)
 {
   HttpJob *job = ctx;
-  HttpAnswer answer = answer_of (job);
+  HttpAnswer answer = partial_answer (job);
 
   answer.timed_out = TRUE;
   detach (job);
@@ -393,7 +390,7 @@
   if (!http_split_address (address, &pool->ip, &pool->port))
     pool->ip = g_strdup ("0.0.0.0");
   pool->sweep = event_new (base, -1, EV_PERSIST, on_sweep, pool);
-  pool->kick = event_new (base, -1, 0, on_kick, pool);
+  pool->wake = event_new (base, -1, 0, on_wake, pool);
   event_add (pool->sweep, &interval);
   return pool;
 }
@@ -412,7 +409,7 @@
 
   TAILQ_FOREACH (conn, &pool->conns, link)
     if (conn->job != NULL && conn->job->begun_ms > 0
-        && now - conn->job->heard_ms <= within_ms)
+        && now - conn->job->received_ms <= within_ms)
       return TRUE;
   return FALSE;
 }
@@ -420,7 +417,7 @@
 static void
 end_unfinished (HttpJob *job)
 {
-  HttpAnswer answer = answer_of (job);
+  HttpAnswer answer = partial_answer (job);
 
   job_end (job, &answer);
   job_free (job);
@@ -448,7 +445,7 @@
       end_unfinished (job);
     }
   event_free (pool->sweep);
-  event_free (pool->kick);
+  event_free (pool->wake);
   g_free (pool->ip);
   g_free (pool);
 }
@@ -473,6 +470,6 @@
   job->timer = evtimer_new (pool->base, on_timeout, job);
   event_add (job->timer, &timeout);
   TAILQ_INSERT_TAIL (&pool->waiting, job, link);
-  event_active (pool->kick, EV_TIMEOUT, 0);
+  event_active (pool->wake, EV_TIMEOUT, 0);
   return job;
 }
--- a/src/http.h
+++ b/src/http.h
@@ -1,29 +1,29 @@
 #pragma once
-/* HTTP by evhttp: a small client with a bounded pool of connections for each peer, and
- * helpers to answer. */
+/* HTTP over evhttp: a client with a bounded connection pool for each peer, and helpers
+ * for servers. */
 #include <event2/event.h>
 #include <event2/http.h>
 #include <glib.h>
 
 typedef struct HttpPool HttpPool;
-/* A call under way. */
+/* A call in progress. */
 typedef struct HttpJob HttpJob;
 
 typedef enum
 {
   HTTP_ANSWERED,
-  HTTP_NOT_SENT, /* not one byte of the request left this process */
-  HTTP_BROKEN,   /* sent at least in part, and no whole answer came */
+  HTTP_NOT_SENT, /* no byte of the request was sent */
+  HTTP_BROKEN,   /* sent at least in part, without a complete response */
 } HttpEnd;
 
 typedef struct
 {
   HttpEnd end;
   gboolean timed_out; /* ended by the call's own timeout */
-  gsize received;     /* bytes of the answer that had come, with its head */
-  gint64 begun_ms;    /* from the call to its first byte, or to the end without one */
+  gsize received;     /* bytes of the response, including its headers */
+  gint64 begun_ms; /* from the call to the first byte, or to the end if there is none */
   int status;
-  const char *retry_after; /* header, or NULL */
+  const char *retry_after; /* the header's value, or NULL */
   const void *body;
   gsize size;
 } HttpAnswer;
@@ -37,45 +37,45 @@
   const char *const *headers; /* name, value, ..., NULL; or NULL */
   const void *body;
   gsize size;
-  guint timeout_ms; /* from call to whole answer; with @silence_ms, to its first byte */
-  guint silence_ms; /* 0, or the longest between two pieces of an answer that has begun: a
-                     * large one over a slow link is not ended while it arrives */
-  gboolean fresh;   /* not over a connection that served another call: it may be dead */
-  void (*heard) (gpointer ctx); /* NULL, or called with each piece of the answer */
+  guint timeout_ms; /* from call to complete response; with @silence_ms, to first byte */
+  guint silence_ms; /* 0, or the timeout between two pieces of the response: a large one
+                     * over a slow link is not aborted while it arrives */
+  gboolean fresh;   /* not on a reused connection, which may be dead */
+  void (*heard) (gpointer ctx); /* NULL, or called for each piece of the response */
   HttpDone done; /* called once, never before http_pool_call () has returned */
   gpointer ctx;
 } HttpCall;
 
 /**
- * http_pool_new - calls to one peer.
+ * http_pool_new - client of one peer.
  * @address: "ip:port".
- * @connections: the most that are open at once; further calls wait their turn.
+ * @connections: limit of open connections; further calls are queued.
  */
 HttpPool *http_pool_new (struct event_base *base, const char *address, guint connections);
 
-/** http_pool_keep_idle - reuse connections that were idle up to this long (2 s if unset).
+/** http_pool_keep_idle - reuse connections that were idle up to @idle_ms (default 2 s).
  */
 void http_pool_keep_idle (HttpPool *pool, guint idle_ms);
 
-/** http_pool_is_receiving - whether an answer has begun, and went on within @within_ms.
- */
+/** http_pool_is_receiving - whether part of an incomplete response arrived within the
+ * last @within_ms. */
 gboolean http_pool_is_receiving (const HttpPool *pool, guint within_ms);
 
-/** http_pool_free - calls under way end as broken or not sent. */
+/** http_pool_free - unfinished calls end with HTTP_BROKEN or HTTP_NOT_SENT. */
 void http_pool_free (HttpPool *pool);
 
 /** http_pool_call - Return: the call, valid until its done () is called or it is dropped.
  */
 HttpJob *http_pool_call (HttpPool *pool, const HttpCall *call);
 
-/** http_job_drop - end a call without its done (), and close its connection. */
+/** http_job_drop - cancel a call without done () and close its connection. */
 void http_job_drop (HttpJob *job);
 
-/** http_split_address - "ip:port" into its parts; FALSE if it is not one. */
+/** http_split_address - split "ip:port". Return: FALSE if @address is not of this form.
+ */
 gboolean http_split_address (const char *address, char **ip, guint16 *port);
 
-/** http_reply - answer a request; @type is its content type, @retry_after_s 0 for none.
- */
+/** http_reply - send a response; @type is its Content-Type, @retry_after_s 0 for none. */
 void http_reply (struct evhttp_request *request,
                  int status,
                  const char *type,
@@ -86,6 +86,5 @@
 /** http_request_body - the body as bytes, copied and NUL-terminated; free with g_free. */
 char *http_request_body (struct evhttp_request *request, gsize *size);
 
-/** http_query_value - a value of the request's query string, or NULL; free with g_free.
- */
+/** http_query_value - a parameter of the query string, or NULL; free with g_free. */
 char *http_query_value (struct evhttp_request *request, const char *name);
--- a/src/http_serve.c
+++ b/src/http_serve.c
@@ -1,4 +1,3 @@
-/* Helpers of those who answer HTTP requests. */
 #include "http.h"
 
 #include <event2/buffer.h>
