--- a/src/settings.c
+++ b/src/settings.c
@@ -31,10 +31,10 @@
   Kind kind;
   int roles;
   gsize offset;
-  const char *fallback; /* NULL: must be given */
-  gint64 least;
-  gint64 most;
-  const char *text;
+  const char *default_value; /* NULL: must be given */
+  gint64 min;
+  gint64 max;
+  const char *description;
 } Setting;
 
 static const Setting table[] = {
@@ -47,12 +47,12 @@
   { "listen.frames", KIND_ADDRESS, BOTH | SETTINGS_LEASED_ENTRY, AT (listen_frames),
     "127.0.0.1:8081", 0, 0, "Where other godwitspar processes reach it." },
   { "listen.advertise_http", KIND_ADDRESS_OR_EMPTY, BOTH, AT (advertise_http), "", 0, 0,
-    "The same as seen by others; empty: as listened." },
+    "listen.http as others reach it; empty: the same address." },
   { "listen.advertise_frames", KIND_ADDRESS_OR_EMPTY, BOTH | SETTINGS_LEASED_ENTRY,
-    AT (advertise_frames), "", 0, 0, "The same as seen by others; empty: as listened." },
+    AT (advertise_frames), "", 0, 0,
+    "listen.frames as others reach it; empty: the same address." },
   { "listen.ready", KIND_ADDRESS_OR_EMPTY, SETTINGS_LEASED_ENTRY, AT (listen_ready), "",
-    0, 0,
-    "Where the balancer asks whether it takes requests; empty: on listen.http only." },
+    0, 0, "Where the balancer checks its readiness; empty: on listen.http only." },
   { "listen.metrics", KIND_ADDRESS_OR_EMPTY, LEASED, AT (listen_metrics), "", 0, 0,
     "Where counters and latency histograms are served; empty: nowhere." },
   { "log.level", KIND_LOG_LEVEL, ALL, AT (log_level), "info", 0, 0,
@@ -62,27 +62,28 @@
   { "timeline.events", KIND_NUMBER, ALL, AT (timeline_events), "20000", 16, 10000000,
     "Events kept in memory for the time line." },
   { "links.heartbeat_ms", KIND_NUMBER, ALL, AT (heartbeat_ms), "500", 10, 60000,
-    "A link that carried nothing this long carries a heartbeat." },
+    "A heartbeat is sent on a link that was idle this long." },
   { "links.timeout_ms", KIND_NUMBER, ALL, AT (timeout_ms), "2000", 50, 600000,
-    "A link that heard nothing this long is closed; also the lease of a start." },
+    "A link that received nothing this long is closed; also the lease of a start." },
   { "table.address", KIND_ADDRESS_OR_EMPTY, SETTINGS_ENTRY | LEASED, AT (table_address),
     "", 0, 0, "The platform's table service." },
   { "table.timeout_ms", KIND_NUMBER, SETTINGS_ENTRY, AT (table_timeout_ms), "1000", 10,
     60000,
-    "A call without an answer is made again after that long; a read is given up "
-    "after four times that, a write after two." },
+    "A call without an answer is repeated after this; a read fails after four times "
+    "this, a write after twice." },
   { "table.writes_per_s", KIND_NUMBER, SETTINGS_ENTRY, AT (table_writes_per_s), "50", 1,
-    10000, "Most writes of callers' keys a second; what arrives meanwhile shares one." },
+    10000,
+    "Most writes of callers' keys a second; keys that arrive in between share one." },
   { "entries.peers", KIND_ADDRESSES, SETTINGS_ENTRY | LEASED, AT (peers), "", 0, 0,
     "Frame addresses of other entries, for a start while the table is down." },
   { "config.poll_ms", KIND_NUMBER, SETTINGS_ENTRY, AT (config_poll_ms), "1000", 10, 60000,
     "How often the table is asked for a newer configuration and for entries." },
   { "config.unconfirmed_ms", KIND_NUMBER, SETTINGS_ENTRY, AT (config_unconfirmed_ms),
     "8000", 100, 600000,
-    "No new work is taken when neither table nor all peers confirmed the version so "
-    "long." },
+    "New work is refused if neither the table nor all peers confirmed the version for "
+    "this long." },
   { "agents.lost_ms", KIND_NUMBER, SETTINGS_ENTRY, AT (agent_lost_ms), "3000", 100,
-    600000, "Tasks of an agent out of reach this long are given up as may have run." },
+    600000, "Tasks of an agent unreachable this long end as \"may have run\"." },
   { "agents.announcement_ms", KIND_NUMBER, SETTINGS_ENTRY, AT (announcement_ms), "3000",
     100, 600000, "Lifetime of an announcement by a backend server without an agent." },
   { "drain.grace_ms", KIND_NUMBER, SETTINGS_ENTRY | SETTINGS_LEASED_ENTRY,
@@ -91,11 +92,12 @@
   { "drain.limit_ms", KIND_NUMBER, ALL, AT (drain_limit_ms), "60000", 0, 3600000,
     "After SIGTERM, longest wait for what is in flight." },
   { "leases.entry_ms", KIND_NUMBER, LEASED, AT (entry_lease_ms), "450", 100, 60000,
-    "Without a word from an entry, what it started is stopped after this." },
+    "Lease of an entry: if nothing is received from it this long, its tasks are "
+    "stopped." },
   { "leases.server_ms", KIND_NUMBER, LEASED, AT (server_lease_ms), "700", 100, 60000,
-    "Without a word from its agent, a backend server ends all runs after this." },
+    "Lease of a backend server: unless its agent extends it, all runs end after this." },
   { "entries.http", KIND_ADDRESSES, SETTINGS_AGENT, AT (entries), NULL, 0, 0,
-    "HTTP addresses of the entries or of the balancer before them." },
+    "HTTP addresses of the entries or of the balancer in front of them." },
   { "backend.address", KIND_ADDRESS, SETTINGS_AGENT | SETTINGS_LEASED_AGENT,
     AT (backend_address), NULL, 0, 0, "The backend server's HTTP address." },
   { "backend.service", KIND_NAME, SETTINGS_AGENT, AT (backend_service), NULL, 0, 0,
@@ -114,7 +116,7 @@
   SettingsRole role;
   const char *path;
   Findings *findings;
-  guint lines[G_N_ELEMENTS (table)]; /* where each was given; 0: not */
+  guint lines[G_N_ELEMENTS (table)]; /* line of each setting; 0: not given */
 } Reader;
 
 static const Setting *
@@ -127,7 +129,7 @@
 }
 
 static void
-complain (Reader *reader, guint line, const char *key, const char *message)
+add_finding (Reader *reader, guint line, const char *key, const char *message)
 {
   char *place = line > 0 ? g_strdup_printf ("%s:%u: %s", reader->path, line, key)
                          : g_strdup_printf ("%s: %s", reader->path, key);
@@ -155,7 +157,7 @@
   return ok;
 }
 
-/* Return: what is wrong with a text value, or NULL. */
+/* Returns an error message for an invalid value, or NULL. */
 static const char *
 text_fault (const Setting *setting, const char *text)
 {
@@ -200,12 +202,12 @@
 
   if (leaf->type != TOML_INTEGER)
     message = g_strdup ("expected a whole number");
-  else if (leaf->integer < setting->least || leaf->integer > setting->most)
+  else if (leaf->integer < setting->min || leaf->integer > setting->max)
     message = g_strdup_printf ("%" G_GINT64_FORMAT " is not between %" G_GINT64_FORMAT
                                " and %" G_GINT64_FORMAT,
-                               leaf->integer, setting->least, setting->most);
+                               leaf->integer, setting->min, setting->max);
   if (message != NULL)
-    complain (reader, leaf->line, leaf->key, message);
+    add_finding (reader, leaf->line, leaf->key, message);
   else
     *(guint *)((char *)reader->settings + setting->offset) = (guint)leaf->integer;
   g_free (message);
@@ -218,12 +220,12 @@
 
   if (leaf->type != TOML_TEXT_LIST)
     {
-      complain (reader, leaf->line, leaf->key, "expected a list of \"ip:port\"");
+      add_finding (reader, leaf->line, leaf->key, "expected a list of \"ip:port\"");
       return;
     }
   for (const char *const *item = leaf->list; *item != NULL; item++)
     if (!is_address (*item, FALSE))
-      complain (reader, leaf->line, leaf->key, "expected \"ip:port\" in the list");
+      add_finding (reader, leaf->line, leaf->key, "expected \"ip:port\" in the list");
   g_strfreev (*target);
   *target = g_strdupv ((char **)leaf->list);
 }
@@ -235,25 +237,25 @@
 
   if (leaf->type != TOML_TEXT)
     {
-      complain (reader, leaf->line, leaf->key, "expected a text in quotes");
+      add_finding (reader, leaf->line, leaf->key, "expected a text in quotes");
       return;
     }
   fault = text_fault (setting, leaf->text);
   if (fault != NULL)
-    complain (reader, leaf->line, leaf->key, fault);
+    add_finding (reader, leaf->line, leaf->key, fault);
   else
     assign_text (reader->settings, setting, leaf->text);
 }
 
 static void
-on_leaf (const TomlLeaf *leaf, gpointer ctx)
+read_leaf (const TomlLeaf *leaf, gpointer ctx)
 {
   Reader *reader = ctx;
   const Setting *setting = find_setting (leaf->key, reader->role);
 
   if (setting == NULL)
     {
-      complain (reader, leaf->line, leaf->key, "unknown setting");
+      add_finding (reader, leaf->line, leaf->key, "unknown setting");
       return;
     }
   reader->lines[setting - table] = leaf->line;
@@ -271,33 +273,35 @@
   gpointer target = (char *)settings + setting->offset;
 
   if (setting->kind == KIND_NUMBER)
-    *(guint *)target = setting->fallback != NULL ? (guint)atoi (setting->fallback) : 0;
+    *(guint *)target
+        = setting->default_value != NULL ? (guint)atoi (setting->default_value) : 0;
   else if (setting->kind == KIND_ADDRESSES)
     *(char ***)target = g_new0 (char *, 1);
   else
-    assign_text (settings, setting, setting->fallback != NULL ? setting->fallback : "");
+    assign_text (settings, setting,
+                 setting->default_value != NULL ? setting->default_value : "");
 }
 
 static void
 check_missing (Reader *reader)
 {
   for (gsize i = 0; i < G_N_ELEMENTS (table); i++)
-    if ((table[i].roles & reader->role) && table[i].fallback == NULL
+    if ((table[i].roles & reader->role) && table[i].default_value == NULL
         && reader->lines[i] == 0)
-      complain (reader, 0, table[i].key, "must be given");
+      add_finding (reader, 0, table[i].key, "must be given");
 }
 
 static void
-check_together (Reader *reader)
+check_combined (Reader *reader)
 {
   const Settings *settings = reader->settings;
   guint line = reader->lines[find_setting ("links.timeout_ms", reader->role) - table];
 
   if (settings->timeout_ms < 2 * settings->heartbeat_ms)
-    complain (reader, line, "links.timeout_ms",
-              "must be at least twice links.heartbeat_ms");
+    add_finding (reader, line, "links.timeout_ms",
+                 "must be at least twice links.heartbeat_ms");
   if (reader->role == SETTINGS_AGENT && settings->entries[0] == NULL)
-    complain (reader, 0, "entries.http", "must name at least one address");
+    add_finding (reader, 0, "entries.http", "must name at least one address");
 }
 
 Settings *
@@ -309,15 +313,15 @@
 
   for (gsize i = 0; i < G_N_ELEMENTS (table); i++)
     assign_default (reader.settings, &table[i]);
-  fault = toml_read (path, on_leaf, &reader, &line);
+  fault = toml_read (path, read_leaf, &reader, &line);
   if (fault != NULL)
     {
-      complain (&reader, line, "syntax", fault);
+      add_finding (&reader, line, "syntax", fault);
     }
   else
     {
       check_missing (&reader);
-      check_together (&reader);
+      check_combined (&reader);
     }
   if (!findings_to_error (reader.findings, error))
     g_clear_pointer (&reader.settings, settings_free);
@@ -358,23 +362,23 @@
     { "backend.service", "\"exchange\"" },
   };
 
-  for (gsize i = 0; setting->fallback == NULL && i < G_N_ELEMENTS (required); i++)
+  for (gsize i = 0; setting->default_value == NULL && i < G_N_ELEMENTS (required); i++)
     if (strcmp (required[i].key, setting->key) == 0)
       g_string_append_printf (page, "%s = %s\n", name, required[i].value);
-  if (setting->fallback == NULL)
+  if (setting->default_value == NULL)
     return;
   if (setting->kind == KIND_NUMBER)
-    g_string_append_printf (page, "# %s = %s\n", name, setting->fallback);
+    g_string_append_printf (page, "# %s = %s\n", name, setting->default_value);
   else if (setting->kind == KIND_ADDRESSES)
     g_string_append_printf (page, "# %s = []\n", name);
   else
-    g_string_append_printf (page, "# %s = \"%s\"\n", name, setting->fallback);
+    g_string_append_printf (page, "# %s = \"%s\"\n", name, setting->default_value);
 }
 
 static void
 sample_section (GString *page, SettingsRole role, const char *section)
 {
-  gboolean headed = section[0] == '\0';
+  gboolean has_header = section[0] == '\0';
 
   for (gsize i = 0; i < G_N_ELEMENTS (table); i++)
     {
@@ -384,13 +388,13 @@
       if (!(table[i].roles & role) || length != strlen (section)
           || strncmp (table[i].key, section, length) != 0)
         continue;
-      if (!headed)
+      if (!has_header)
         g_string_append_printf (page, "\n[%s]\n", section);
-      headed = TRUE;
-      g_string_append_printf (page, "# %s", table[i].text);
+      has_header = TRUE;
+      g_string_append_printf (page, "# %s", table[i].description);
       if (table[i].kind == KIND_NUMBER)
         g_string_append_printf (page, " %" G_GINT64_FORMAT " to %" G_GINT64_FORMAT ".",
-                                table[i].least, table[i].most);
+                                table[i].min, table[i].max);
       g_string_append_c (page, '\n');
       sample_value (page, &table[i], dot != NULL ? dot + 1 : table[i].key);
     }
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,6 +1,6 @@
 #pragma once
-/* A process's own settings: read from TOML, each value checked, all faults reported
- * together with file, line and key. */
+/* Settings of a process, read from a TOML file. All errors are reported together, with
+ * file, line and key. */
 #include "findings.h"
 
 #include <glib.h>
@@ -13,8 +13,8 @@
   char *listen_frames;
   char *listen_ready;
   char *listen_metrics;
-  char *advertise_http;   /* empty: as listened */
-  char *advertise_frames; /* empty: as listened */
+  char *advertise_http;   /* empty: listen_http */
+  char *advertise_frames; /* empty: listen_frames */
   char *log_level;
   guint timeline_events;
   guint events_per_s;
@@ -51,13 +51,13 @@
 } SettingsRole;
 
 /**
- * settings_load - read and check a file.
- * @role: whose settings they are.
+ * settings_load - read and validate a file.
+ * @role: the kind of process that the settings are for.
  * @error: GODWITSPAR_ERROR_INPUT, one line for each fault.
  * Return: NULL if there was any fault.
  */
 Settings *settings_load (const char *path, SettingsRole role, GError **error);
 void settings_free (Settings *settings);
 
-/** settings_sample - the fully commented sample file; free with g_free. */
+/** settings_sample - a sample file with all settings documented; free with g_free. */
 char *settings_sample (SettingsRole role);
