--- a/src/daemon.c
+++ b/src/daemon.c
@@ -11,9 +11,9 @@
 #include <sys/stat.h>
 
 #define EXIT_USAGE 2
-/* A settings file may change without a signal; seeds in it are out of date within
- * seconds. */
-#define SETTINGS_LOOK_MS 1000
+/* The settings file is also polled, since it may change without a signal and the peer
+ * addresses in it go out of date within seconds. */
+#define SETTINGS_POLL_MS 1000
 
 typedef struct
 {
@@ -31,7 +31,7 @@
   const char *settings_path;
   struct timespec settings_time;
   off_t settings_size;
-} Running;
+} RunState;
 
 static gboolean
 parse_options (int argc,
@@ -90,25 +90,25 @@
 static void
 on_signal (evutil_socket_t number, short what, void *ctx)
 {
-  Running *running = ctx;
+  RunState *state = ctx;
 
   log_notice ("signal %d", (int)number);
-  running->ops->drain (running->daemon);
+  state->ops->drain (state->daemon);
 }
 
 static void
-note_settings_file (Running *running, const struct stat *file)
+remember_settings_file (RunState *state, const struct stat *file)
 {
-  running->settings_time = file->st_mtim;
-  running->settings_size = file->st_size;
+  state->settings_time = file->st_mtim;
+  state->settings_size = file->st_size;
 }
 
-/* A faulty file changes nothing: the process goes on with what it has. */
+/* If the file is invalid, the process keeps its current settings. */
 static void
-reload (Running *running)
+reload (RunState *state)
 {
   GError *error = NULL;
-  Settings *settings = settings_load (running->settings_path, running->ops->role, &error);
+  Settings *settings = settings_load (state->settings_path, state->ops->role, &error);
 
   if (settings == NULL)
     {
@@ -118,8 +118,8 @@
     }
   log_notice ("settings reloaded");
   log_set_level (log_level_parse (settings->log_level));
-  if (running->ops->reload != NULL)
-    running->ops->reload (running->daemon, settings);
+  if (state->ops->reload != NULL)
+    state->ops->reload (state->daemon, settings);
   settings_free (settings);
 }
 
@@ -130,43 +130,43 @@
 }
 
 static void
-on_look (evutil_socket_t fd, short what, void *ctx)
+on_settings_poll (evutil_socket_t fd, short what, void *ctx)
 {
-  Running *running = ctx;
+  RunState *state = ctx;
   struct stat file;
 
-  if (stat (running->settings_path, &file) != 0)
+  if (stat (state->settings_path, &file) != 0)
     return;
-  if (file.st_mtim.tv_sec == running->settings_time.tv_sec
-      && file.st_mtim.tv_nsec == running->settings_time.tv_nsec
-      && file.st_size == running->settings_size)
+  if (file.st_mtim.tv_sec == state->settings_time.tv_sec
+      && file.st_mtim.tv_nsec == state->settings_time.tv_nsec
+      && file.st_size == state->settings_size)
     return;
-  note_settings_file (running, &file);
-  reload (running);
+  remember_settings_file (state, &file);
+  reload (state);
 }
 
 static int
 run (const DaemonOps *ops, const Settings *settings, const char *settings_path)
 {
   struct event_base *base = event_base_new ();
-  Running running = { ops, ops->create (base, settings), settings_path };
-  struct event *term = evsignal_new (base, SIGTERM, on_signal, &running);
-  struct event *interrupt = evsignal_new (base, SIGINT, on_signal, &running);
-  struct event *hangup = evsignal_new (base, SIGHUP, on_hangup, &running);
-  struct event *look = event_new (base, -1, EV_PERSIST, on_look, &running);
-  struct timeval look_interval = timeval_from_ms (SETTINGS_LOOK_MS);
+  RunState state = { ops, ops->create (base, settings), settings_path };
+  struct event *term = evsignal_new (base, SIGTERM, on_signal, &state);
+  struct event *interrupt = evsignal_new (base, SIGINT, on_signal, &state);
+  struct event *hangup = evsignal_new (base, SIGHUP, on_hangup, &state);
+  struct event *poll = event_new (base, -1, EV_PERSIST, on_settings_poll, &state);
+  struct timeval poll_interval = timeval_from_ms (SETTINGS_POLL_MS);
   struct stat file;
   GError *error = NULL;
   int code = EXIT_SUCCESS;
 
   signal (SIGPIPE, SIG_IGN);
   if (stat (settings_path, &file) == 0)
-    note_settings_file (&running, &file);
+    remember_settings_file (&state, &file);
   event_add (term, NULL);
   event_add (interrupt, NULL);
   event_add (hangup, NULL);
-  event_add (look, &look_interval);
-  if (!ops->start (running.daemon, &error))
+  event_add (poll, &poll_interval);
+  if (!ops->start (state.daemon, &error))
     {
       log_err ("%s", error->message);
       g_clear_error (&error);
@@ -174,15 +174,15 @@
       goto out;
     }
   event_base_dispatch (base);
-  if (ops->gave_up != NULL && ops->gave_up (running.daemon))
+  if (ops->gave_up != NULL && ops->gave_up (state.daemon))
     code = EXIT_FAILURE;
 
 out:
-  ops->destroy (running.daemon);
+  ops->destroy (state.daemon);
   event_free (term);
   event_free (interrupt);
   event_free (hangup);
-  event_free (look);
+  event_free (poll);
   event_base_free (base);
   return code;
 }
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -1,5 +1,5 @@
 #pragma once
-/* What the thin mains of the daemons share: command line, settings, signals, the loop. */
+/* Common main () of the daemons: command line, settings, signals, event loop. */
 #include "settings.h"
 
 #include <event2/event.h>
@@ -12,12 +12,11 @@
   gpointer (*create) (struct event_base *base, const Settings *settings);
   gboolean (*start) (gpointer daemon, GError **error);
   void (*drain) (gpointer daemon);
-  /* The settings have changed and are without fault; NULL if nothing can be taken over.
-   */
+  /* Applies changed, valid settings; NULL if none can change at run time. */
   void (*reload) (gpointer daemon, const Settings *settings);
   gboolean (*gave_up) (gconstpointer daemon);
   void (*destroy) (gpointer daemon);
 } DaemonOps;
 
-/** daemon_main - run a daemon to its end. Return: the process's exit code. */
+/** daemon_main - run a daemon until it exits. Return: the exit code. */
 int daemon_main (int argc, char **argv, const DaemonOps *ops);
--- a/src/findings.h
+++ b/src/findings.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Findings about input: collected with their place, reported together. */
+/* Validation errors of an input, collected with their locations and reported together. */
 #include <glib.h>
 
 /** The error domain of the library. */
@@ -7,10 +7,10 @@
 
 typedef enum
 {
-  GODWITSPAR_ERROR_INPUT,       /* the findings name every fault of the input */
+  GODWITSPAR_ERROR_INPUT,       /* invalid input; the message lists all findings */
   GODWITSPAR_ERROR_SYSTEM,      /* an operating-system call failed */
-  GODWITSPAR_ERROR_PROTOCOL,    /* a peer broke the protocol */
-  GODWITSPAR_ERROR_UNAVAILABLE, /* what was asked for cannot be reached now */
+  GODWITSPAR_ERROR_PROTOCOL,    /* a peer violated the protocol */
+  GODWITSPAR_ERROR_UNAVAILABLE, /* a service is unreachable */
 } GodwitsparError;
 
 GQuark godwitspar_error_quark (void);
@@ -34,7 +34,7 @@
 const Finding *findings_get (const Findings *findings, guint index);
 
 /**
- * findings_to_error - turn all findings into one GError, a line for each.
+ * findings_to_error - combine all findings into one GError, a line for each.
  * Return: TRUE if there were none; else @error is set to GODWITSPAR_ERROR_INPUT.
  */
 gboolean findings_to_error (const Findings *findings, GError **error);
--- a/src/supervisor.c
+++ b/src/supervisor.c
@@ -80,7 +80,7 @@
 static void
 give_up (Supervisor *supervisor, const Component *component, const char *reason)
 {
-  log_err ("%s/%s gives up: %s", supervisor->name, component->ops->name, reason);
+  log_err ("%s/%s failed too often: %s", supervisor->name, component->ops->name, reason);
   supervisor->gave_up = TRUE;
   event_base_loopbreak (supervisor->base);
 }
@@ -117,7 +117,7 @@
   if (component->ops->start (component->ctx, &error))
     {
       component->running = TRUE;
-      log_notice ("%s/%s runs again", component->supervisor->name, component->ops->name);
+      log_notice ("%s/%s restarted", component->supervisor->name, component->ops->name);
       return;
     }
   schedule_restart (component, error->message);
--- a/src/supervisor.h
+++ b/src/supervisor.h
@@ -1,6 +1,6 @@
 #pragma once
-/* The supervisor tree: starts components in order, stops them in reverse, restarts one
- * that reports failure and gives up on the process when restarts do not help. */
+/* Supervisor: starts components in order, stops them in reverse order and restarts those
+ * that fail; after too many restarts it ends the process. */
 #include <event2/event.h>
 #include <glib.h>
 
@@ -16,24 +16,24 @@
 
 Supervisor *supervisor_new (struct event_base *base, const char *name);
 
-/** supervisor_free - stops what runs, newest first. */
+/** supervisor_free - stop the running components, last started first, and free it. */
 void supervisor_free (Supervisor *supervisor);
 
-/** supervisor_add - add a component; @ops and @ctx outlive the supervisor. */
+/** supervisor_add - add a component; @ops and @ctx must outlive the supervisor. */
 void supervisor_add (Supervisor *supervisor, const ComponentOps *ops, gpointer ctx);
 
-/** supervisor_start - start all in order; on an error those started are stopped again. */
+/** supervisor_start - start all in order; on an error stop those already started. */
 gboolean supervisor_start (Supervisor *supervisor, GError **error);
 
 /**
- * supervisor_report_failure - a running component can go on no longer.
+ * supervisor_report_failure - a running component has failed.
  *
- * It is stopped and started again after a growing delay; after too many restarts in a
- * minute the loop is left, and the platform replaces the process.
+ * It is stopped and restarted after an exponential backoff. After too many restarts
+ * within a minute the event loop is left, so that the platform replaces the process.
  */
 void supervisor_report_failure (Supervisor *supervisor,
                                 const ComponentOps *ops,
                                 const char *reason);
 
-/** supervisor_gave_up - whether the loop was left for a component that would not run. */
+/** supervisor_gave_up - whether the loop was left after too many restarts. */
 gboolean supervisor_gave_up (const Supervisor *supervisor);
--- a/src/toml.h
+++ b/src/toml.h
@@ -1,6 +1,5 @@
 #pragma once
-/* TOML files by toml++, behind a small C face: every leaf with its dotted key and line.
- */
+/* C interface to toml++: visits every leaf of a file with its dotted key and line. */
 #include <glib.h>
 
 G_BEGIN_DECLS
@@ -29,7 +28,7 @@
 /**
  * toml_read - read a file and visit its leaves in order.
  * @line: set to the line of a syntax error, 0 if the file cannot be read.
- * Return: NULL, or the fault as text; free with g_free.
+ * Return: NULL, or an error message; free with g_free.
  */
 char *toml_read (const char *path, TomlVisit visit, gpointer ctx, guint *line);
 
