--- a/src/entry.c
+++ b/src/entry.c
@@ -11,10 +11,9 @@
 #define LOADS_MS 500
 #define BACKENDS_TICK_MS 100
 #define CLAIM_LIMIT_MS 3000
-/* The last frames and the drop of the own row are given this long. */
-#define FAREWELL_MS 100
+#define EXIT_DELAY_MS 100 /* to send the final frames and delete the own row */
 
-/* Listening for frames. */
+/* Frame listener. */
 
 static gboolean
 frames_start (gpointer ctx, GError **error)
@@ -41,7 +40,7 @@
 
 static const ComponentOps frames_ops = { "frames", frames_start, frames_stop };
 
-/* Serving HTTP. */
+/* HTTP server. */
 
 static void
 on_request (struct evhttp_request *request, void *ctx)
@@ -83,7 +82,7 @@
 
 static const ComponentOps http_ops = { "http", http_start, http_stop };
 
-/* The platform: configuration and membership. */
+/* Configuration and membership. */
 
 static gboolean
 platform_start (gpointer ctx, GError **error)
@@ -102,19 +101,19 @@
 
 static const ComponentOps platform_ops = { "platform", platform_start, platform_stop };
 
-/* The clock's work. */
+/* Periodic work. */
 
 static gboolean
 nothing_in_flight (const Entry *entry)
 {
   return holder_open_jobs (entry->holder) == 0 && home_open_tasks (entry->home) == 0
-         && callers_open (entry->callers) == 0 && reconcile_open (entry->settle) == 0;
+         && callers_open (entry->callers) == 0 && reconcile_open (entry->reconcile) == 0;
 }
 
 static void
-say_farewell (Entry *entry)
+leave_and_exit (Entry *entry)
 {
-  struct timeval delay = timeval_from_ms (FAREWELL_MS);
+  struct timeval delay = timeval_from_ms (EXIT_DELAY_MS);
 
   if (entry->row_dropped)
     return;
@@ -133,11 +132,11 @@
     return;
   callers_stop_accepting (entry->callers);
   if (nothing_in_flight (entry) || elapsed > entry->settings->drain_limit_ms)
-    say_farewell (entry);
+    leave_and_exit (entry);
 }
 
 static void
-follow_ranking (Entry *entry)
+apply_ranking_change (Entry *entry)
 {
   if (!entry->ranking_changed)
     return;
@@ -151,7 +150,7 @@
   Entry *entry = ctx;
   gint64 now = clock_now_ms ();
 
-  follow_ranking (entry);
+  apply_ranking_change (entry);
   if (now - entry->backends_ticked_ms >= BACKENDS_TICK_MS)
     {
       entry->backends_ticked_ms = now;
@@ -159,7 +158,7 @@
     }
   home_tick (entry->home, now);
   holder_tick (entry->holder, now);
-  reconcile_tick (entry->settle, now);
+  reconcile_tick (entry->reconcile, now);
   if (now - entry->loads_sent_ms >= LOADS_MS)
     {
       entry->loads_sent_ms = now;
@@ -193,7 +192,7 @@
   entry_deliver (ctx);
 }
 
-/* The configuration's view of the entry. */
+/* Configuration callbacks. */
 
 static void
 config_adopted (gpointer ctx)
@@ -265,23 +264,23 @@
 }
 
 static void
-create_work (Entry *entry)
+create_scheduling (Entry *entry)
 {
   const Settings *settings = entry->settings;
   BackendsInit backends
       = { entry->base,    &entry->links,           entry->incarnation,
           settings->zone, settings->agent_lost_ms, settings->announcement_ms };
   HomeInit home = { entry->base, settings->timeout_ms, entry->incarnation };
-  ReconcileInit settle = { settings->agent_lost_ms };
+  ReconcileInit reconcile = { settings->agent_lost_ms };
 
   entry->backends = backends_new (&backends, &entry_backends_ops, entry);
   entry->home = home_new (&home, entry->backends, &entry_home_ops, entry);
   entry->holder = holder_new (entry->incarnation, &entry_holder_ops, entry);
-  entry->settle = reconcile_new (&settle, &entry->links, entry->holder);
+  entry->reconcile = reconcile_new (&reconcile, &entry->links, entry->holder);
 }
 
 static void
-create_pages (Entry *entry)
+create_http_handlers (Entry *entry)
 {
   CallersInit callers = { entry->base,   entry->holder, entry->members,
                           entry->claims, entry->config, entry->incarnation };
@@ -307,15 +306,15 @@
   entry->links.hello = &entry->hello;
   entry->links.heartbeat_ms = settings->heartbeat_ms;
   entry->links.timeout_ms = settings->timeout_ms;
-  entry->strangers = g_ptr_array_new_with_free_func ((GDestroyNotify)link_unref);
+  entry->unidentified = g_ptr_array_new_with_free_func ((GDestroyNotify)link_unref);
   entry->roster_acks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   entry->tick = event_new (base, -1, EV_PERSIST, on_tick, entry);
   entry->local = event_new (base, -1, 0, on_local, entry);
   STAILQ_INIT (&entry->local_outcomes);
   fill_hello (entry);
   create_platform (entry);
-  create_work (entry);
-  create_pages (entry);
+  create_scheduling (entry);
+  create_http_handlers (entry);
   entry->supervisor = supervisor_new (base, "entry");
   supervisor_add (entry->supervisor, &frames_ops, entry);
   supervisor_add (entry->supervisor, &http_ops, entry);
@@ -330,19 +329,19 @@
   if (entry == NULL)
     return;
   supervisor_free (entry->supervisor);
-  /* First the clients, whose last callbacks find all else still in place. */
+  /* Pending calls end first: their callbacks still use the other modules. */
   table_free (entry->table);
   callers_free (entry->callers);
   operators_free (entry->operators);
   claims_free (entry->claims);
-  reconcile_free (entry->settle);
+  reconcile_free (entry->reconcile);
   backends_free (entry->backends);
   entry_deliver (entry);
   home_free (entry->home);
   holder_free (entry->holder);
   members_free (entry->members);
   config_free (entry->config);
-  g_ptr_array_unref (entry->strangers);
+  g_ptr_array_unref (entry->unidentified);
   g_hash_table_unref (entry->roster_acks);
   event_free (entry->tick);
   event_free (entry->local);
@@ -361,7 +360,7 @@
 }
 
 static gboolean
-another_takes_over (Entry *entry)
+another_entry_is_up (Entry *entry)
 {
   const Member *member;
 
@@ -380,7 +379,7 @@
   entry->draining_ms = clock_now_ms ();
   log_notice ("leaving: what is in flight is finished first");
   timeline_add ("entry-leaving", NULL, -1, entry->hello.name);
-  if (another_takes_over (entry))
+  if (another_entry_is_up (entry))
     home_set_leaving (entry->home);
   members_leave (entry->members, FALSE);
 }
--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "entry"
-/* Links and frames: whose they are, and which module each message is for. */
+/* Links and received frames: finds the peer and passes each message to its module. */
 #include "counters.h"
 #include "entry_parts.h"
 #include "messages.h"
@@ -7,13 +7,13 @@
 /* Frames. */
 
 static void
-take_rosters (Entry *entry, const Member *member, const Gw__Frame *frame)
+handle_rosters (Entry *entry, const Member *member, const Gw__Frame *frame)
 {
   for (gsize i = 0; i < frame->n_rosters; i++)
     {
       Gw__RosterAck *ack = g_new (Gw__RosterAck, 1);
 
-      reconcile_set_roster (entry->settle, member->incarnation, frame->rosters[i]);
+      reconcile_set_roster (entry->reconcile, member->incarnation, frame->rosters[i]);
       holder_add_group (entry->holder, frame->rosters[i]->group, 0);
       gw__roster_ack__init (ack);
       ack->group = g_strdup (frame->rosters[i]->group);
@@ -23,7 +23,7 @@
 }
 
 static void
-take_roster_acks (Entry *entry, const Member *member, const Gw__Frame *frame)
+handle_roster_acks (Entry *entry, const Member *member, const Gw__Frame *frame)
 {
   for (gsize i = 0; i < frame->n_roster_acks; i++)
     {
@@ -36,9 +36,10 @@
     }
 }
 
-/* An outcome nobody waits for: its home may forget the job. */
+/* Acknowledges an outcome of an ended or unknown job, so that its home can drop the job.
+ */
 static void
-dismiss_stale (Entry *entry, Link *link, const Gw__Outcome *outcome)
+ack_stale_outcome (Entry *entry, Link *link, const Gw__Outcome *outcome)
 {
   JobKey key = message_job_key (outcome->job);
   const HeldJob *job = holder_lookup (entry->holder, &key);
@@ -48,7 +49,7 @@
 }
 
 static void
-take_config (Entry *entry, const Gw__Frame *frame)
+handle_config (Entry *entry, const Gw__Frame *frame)
 {
   if (frame->config != NULL)
     config_offer (entry->config, frame->config->version, frame->config->token,
@@ -56,15 +57,15 @@
 }
 
 static void
-take_member_frame (Entry *entry, Member *member, Link *link, const Gw__Frame *frame)
+handle_member_frame (Entry *entry, Member *member, Link *link, const Gw__Frame *frame)
 {
   members_heard (entry->members, member, frame);
-  take_config (entry, frame);
+  handle_config (entry, frame);
   if (frame->config_version < config_version (entry->config) && frame->hello == NULL
       && frame->config == NULL)
     entry_push_config_to (entry, member);
-  take_rosters (entry, member, frame);
-  take_roster_acks (entry, member, frame);
+  handle_rosters (entry, member, frame);
+  handle_roster_acks (entry, member, frame);
   for (gsize i = 0; i < frame->n_group_loads; i++)
     holder_group_load (entry->holder, frame->group_loads[i]);
   home_take_frame (entry->home, member->incarnation, frame);
@@ -72,16 +73,16 @@
     backends_announce (entry->backends, frame->announcements[i]);
   for (gsize i = 0; i < frame->n_outcomes; i++)
     if (!holder_outcome (entry->holder, frame->outcomes[i]))
-      dismiss_stale (entry, link, frame->outcomes[i]);
+      ack_stale_outcome (entry, link, frame->outcomes[i]);
 }
 
-/* An outcome from a slot owner: for the home that placed the task, or, after a home's
- * loss, for the holder that asked the owner itself. */
+/* An outcome from a slot owner is for the home that placed the task or, once that home is
+ * lost, for the holder, which reconciles with the slot owner itself. */
 static void
-take_agent_outcome (Entry *entry,
-                    Link *link,
-                    Backend *backend,
-                    const Gw__Outcome *outcome)
+handle_agent_outcome (Entry *entry,
+                      Link *link,
+                      Backend *backend,
+                      const Gw__Outcome *outcome)
 {
   JobKey key = message_job_key (outcome->job);
   Gw__TaskRef ref = GW__TASK_REF__INIT;
@@ -99,32 +100,32 @@
   link_append_lazily (link, LINK_ACKS, &message_ack (&key, &ref, 1)->base);
 }
 
-/* While the home's own link to an agent is down, outcomes of the home's tasks come over
- * the link by which this entry settles jobs there. */
+/* While the home's own link to an agent is down, outcomes of the home's tasks arrive on
+ * the link over which this entry reconciles jobs there. */
 static Backend *
-settled_backend (Entry *entry, const Link *link)
+reconciled_backend (Entry *entry, const Link *link)
 {
   const Gw__Hello *hello = link_peer (link);
 
-  if (hello->backend == NULL || !reconcile_owns_link (entry->settle, link))
+  if (hello->backend == NULL || !reconcile_owns_link (entry->reconcile, link))
     return NULL;
   return backends_find (entry->backends, hello->backend);
 }
 
 static void
-take_agent_frame (Entry *entry, Link *link, const Gw__Frame *frame)
+handle_agent_frame (Entry *entry, Link *link, const Gw__Frame *frame)
 {
   Backend *backend = backends_of_link (entry->backends, link);
-  Backend *sender = backend != NULL ? backend : settled_backend (entry, link);
+  Backend *sender = backend != NULL ? backend : reconciled_backend (entry, link);
 
   if (backend != NULL && frame->load != NULL)
     backends_update_load (backend, frame->load);
   for (gsize i = 0; i < frame->n_outcomes; i++)
-    take_agent_outcome (entry, link, sender, frame->outcomes[i]);
+    handle_agent_outcome (entry, link, sender, frame->outcomes[i]);
   for (gsize i = 0; i < frame->n_fence_replies; i++)
     {
-      if (reconcile_owns_link (entry->settle, link))
-        reconcile_fence_reply (entry->settle, link, frame->fence_replies[i]);
+      if (reconcile_owns_link (entry->reconcile, link))
+        reconcile_fence_reply (entry->reconcile, link, frame->fence_replies[i]);
       else if (backend != NULL)
         home_fence_reply (entry->home, backend, frame->fence_replies[i]);
     }
@@ -137,15 +138,15 @@
   Member *member = members_of_link (entry->members, link);
 
   if (member != NULL)
-    take_member_frame (entry, member, link, frame);
+    handle_member_frame (entry, member, link, frame);
   else
-    take_agent_frame (entry, link, frame);
+    handle_agent_frame (entry, link, frame);
 }
 
 static void
-forget_stranger (Entry *entry, Link *link)
+remove_unidentified (Entry *entry, Link *link)
 {
-  g_ptr_array_remove_fast (entry->strangers, link);
+  g_ptr_array_remove_fast (entry->unidentified, link);
 }
 
 static void
@@ -159,12 +160,12 @@
     {
       members_link_up (entry->members, link);
     }
-  else if (!reconcile_link_up (entry->settle, link))
+  else if (!reconcile_link_up (entry->reconcile, link))
     {
       backends_link_up (entry->backends, link);
       members_send_entries (entry->members, link);
     }
-  forget_stranger (entry, link);
+  remove_unidentified (entry, link);
   link_unref (link);
 }
 
@@ -174,9 +175,9 @@
   Entry *entry = ctx;
 
   if (!members_link_down (entry->members, link, end)
-      && !reconcile_link_down (entry->settle, link, end))
+      && !reconcile_link_down (entry->reconcile, link, end))
     backends_link_down (entry->backends, link, end);
-  forget_stranger (entry, link);
+  remove_unidentified (entry, link);
 }
 
 static void
@@ -204,5 +205,5 @@
 {
   Entry *entry = ctx;
 
-  g_ptr_array_add (entry->strangers, link_accept (&entry->links, fd));
+  g_ptr_array_add (entry->unidentified, link_accept (&entry->links, fd));
 }
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "entry"
-/* What holder, home, backend servers and members ask of the entry: each other. Messages
- * go to this entry itself or over a link. */
+/* Callbacks that connect holder, home, backend servers and members: each message goes to
+ * the local module or over a link. */
 #include "clock.h"
 #include "counters.h"
 #include "entry_parts.h"
@@ -13,7 +13,7 @@
   return g_strdup_printf ("%016" G_GINT64_MODIFIER "x %s", incarnation, group);
 }
 
-/* Return: the link to a living member, or NULL. */
+/* Return: the link to the member, or NULL. */
 static Link *
 link_to (Entry *entry, guint64 incarnation)
 {
@@ -28,8 +28,8 @@
   protobuf_c_message_free_unpacked (message, NULL);
 }
 
-/* A message to a member without a link is dropped: when the link is back, grants are sent
- * again, and if it does not come back they are settled. */
+/* Drops the message if the member has no link: grants are sent again once it is back, and
+ * reconciled if it stays lost. */
 static void
 send_to (Entry *entry, guint64 incarnation, LinkList list, ProtobufCMessage *message)
 {
@@ -104,7 +104,7 @@
 {
   Entry *entry = ctx;
 
-  reconcile_begin (entry->settle, home, group);
+  reconcile_begin (entry->reconcile, home, group);
 }
 
 static void
@@ -130,7 +130,7 @@
 /* Home to holder. */
 
 static void
-home_tell (guint64 holder, const Gw__Outcome *outcome, gpointer ctx)
+home_report_outcome (guint64 holder, const Gw__Outcome *outcome, gpointer ctx)
 {
   Entry *entry = ctx;
   Gw__Outcome *copy = message_outcome_copy (outcome);
@@ -141,7 +141,7 @@
       send_to (entry, holder, LINK_OUTCOMES, &copy->base);
       return;
     }
-  /* Delivered from the loop: the holder may end the job, which the home is working on. */
+  /* Deferred to the event loop: the holder may end the job that the home is handling. */
   local = g_new0 (LocalOutcome, 1);
   local->outcome = copy;
   STAILQ_INSERT_TAIL (&entry->local_outcomes, local, link_entry);
@@ -192,8 +192,9 @@
   return members_home (entry->members, group) == NULL;
 }
 
-const HomeOps entry_home_ops = { home_tell,      home_holder_alive, home_roster_acked,
-                                 home_may_place, home_is_home,      get_fleet };
+const HomeOps entry_home_ops
+    = { home_report_outcome, home_holder_alive, home_roster_acked,
+        home_may_place,      home_is_home,      get_fleet };
 
 void
 entry_deliver (Entry *entry)
@@ -218,7 +219,7 @@
 /* Backend servers. */
 
 static void
-backends_free_slots (BackendGroup *group, gpointer ctx)
+backends_slots_freed (BackendGroup *group, gpointer ctx)
 {
   Entry *entry = ctx;
 
@@ -267,7 +268,7 @@
 }
 
 static void
-backends_gone (Backend *backend, gpointer ctx)
+backends_lost (Backend *backend, gpointer ctx)
 {
   Entry *entry = ctx;
 
@@ -290,14 +291,14 @@
   Entry *entry = ctx;
 
   home_backend_moved (entry->home, backend);
-  /* With the entries goes the group, by whose ranking the agent chooses its links. */
+  /* Also sends the group, whose rendezvous ranking the agent uses to choose its links. */
   if (backend->link != NULL)
     members_send_entries (entry->members, backend->link);
 }
 
 const BackendsOps entry_backends_ops
-    = { backends_free_slots, backends_roster,  backends_reached, backends_gone,
-        backends_moved,      backends_outcome, get_fleet };
+    = { backends_slots_freed, backends_roster,  backends_reached, backends_lost,
+        backends_moved,       backends_outcome, get_fleet };
 
 void
 entry_announced (const Gw__Backend *info, gpointer ctx)
@@ -355,8 +356,8 @@
                     config_token (entry->config), config_body (entry->config));
 }
 
-/* A copy with each heartbeat that still says an older version would fill a slow link with
- * copies of what is under way. */
+/* Not repeated for each heartbeat with an older version: on a slow link the copies would
+ * queue up behind the one in transit. */
 void
 entry_push_config_to (Entry *entry, Member *member)
 {
@@ -389,9 +390,9 @@
   g_free (prefix);
 }
 
-/* A holder that gave this home up has forgotten its rosters, and would ask no slot owner
- * what it started since: nothing of it is placed before it has acknowledged one on this
- * link. */
+/* A holder that declared this home dead has dropped its rosters and could not reconcile
+ * with slot owners it does not know: none of its tasks is placed before it acknowledges a
+ * roster on this link. */
 static void
 members_up (Member *member, gpointer ctx)
 {
@@ -409,9 +410,9 @@
   holder_home_up (entry->holder, member->incarnation);
 }
 
-/* This process was stopped, or not heard, and noticed nothing: what it holds of the
- * member's has been settled and granted elsewhere, and must not start at slot owners that
- * the settlement did not know. */
+/* This process was paused or unreachable without noticing, and the member declared it
+ * dead: the member's tasks here were reconciled and granted elsewhere, and must not start
+ * at slot owners that the reconciliation did not know. */
 static void
 members_given_up (Member *member, gpointer ctx)
 {
@@ -428,12 +429,12 @@
 
   home_holder_lost (entry->home, incarnation);
   holder_home_lost (entry->holder, incarnation);
-  reconcile_forget_home (entry->settle, incarnation);
+  reconcile_forget_home (entry->reconcile, incarnation);
   forget_roster_acks (entry, incarnation);
 }
 
 static void
-tell_agents_entries (Entry *entry)
+send_entries_to_agents (Entry *entry)
 {
   GHashTableIter iter;
   BackendGroup *group;
@@ -452,7 +453,7 @@
   Entry *entry = ctx;
 
   entry->ranking_changed = TRUE;
-  tell_agents_entries (entry);
+  send_entries_to_agents (entry);
 }
 
 const MembersOps entry_members_ops
--- a/src/entry_parts.h
+++ b/src/entry_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the two halves of the entry share: its assembly (entry.c) and the traffic with
- * other processes (entry_links.c). */
+/* Shared by entry.c (components, lifecycle), entry_links.c (received frames) and
+ * entry_ops.c (callbacks that connect the modules). */
 #include "backends.h"
 #include "callers.h"
 #include "claims.h"
@@ -14,8 +14,8 @@
 #include "reconcile.h"
 #include "supervisor.h"
 
-/* An outcome that this entry as home tells itself as holder, or that waits for the next
- * turn of the loop. */
+/* An outcome from this entry's home to its own holder, delivered in the next event-loop
+ * iteration. */
 typedef struct LocalOutcome
 {
   STAILQ_ENTRY (LocalOutcome) link_entry;
@@ -37,7 +37,7 @@
   Backends *backends;
   Home *home;
   Holder *holder;
-  Reconcile *settle;
+  Reconcile *reconcile;
   Claims *claims;
   Callers *callers;
   Operators *operators;
@@ -45,14 +45,14 @@
   struct evhttp *http;
   char *http_bound;
   struct event *tick;
-  struct event *local;
+  struct event *local; /* delivers local_outcomes */
   STAILQ_HEAD (, LocalOutcome) local_outcomes;
-  GPtrArray *strangers;    /* accepted links before their Hello */
+  GPtrArray *unidentified; /* accepted links before their Hello */
   GHashTable *roster_acks; /* "incarnation group" -> version */
   gint64 loads_sent_ms;
   gint64 backends_ticked_ms;
   gboolean ranking_changed;
-  gint64 draining_ms; /* since when; 0: not */
+  gint64 draining_ms; /* start of draining; 0: not draining */
   gboolean row_dropped;
 };
 
@@ -65,20 +65,22 @@
 /** entry_ack_key - key of roster_acks; free with g_free. */
 char *entry_ack_key (guint64 incarnation, const char *group);
 
-/** entry_links_accept - a connection to the frames' address. */
+/** entry_links_accept - accept a connection on the frame address. */
 void entry_links_accept (evutil_socket_t fd, gpointer ctx);
 
-/** entry_announced - pass an announcement to the home of its group. */
+/** entry_announced - pass a backend server's announcement to the home of its group. */
 void entry_announced (const Gw__Backend *info, gpointer ctx);
 
-/** entry_send_loads - tell holders of the groups this entry is home for. */
+/** entry_send_loads - send the load of each group this entry is home for to all
+ * holders. */
 void entry_send_loads (Entry *entry);
 
-/** entry_push_config_to - send it to one member, once for each version and link. */
+/** entry_push_config_to - send the configuration to one member, once per version and
+ * link. */
 void entry_push_config_to (Entry *entry, Member *member);
 
-/** entry_push_config - send the configuration to members with an older one. */
+/** entry_push_config - send the configuration to all members with an older one. */
 void entry_push_config (Entry *entry);
 
-/** entry_deliver - hand the waiting local outcomes to the holder. */
+/** entry_deliver - pass the queued local outcomes to the holder. */
 void entry_deliver (Entry *entry);
