--- a/src/entry.c
+++ b/src/entry.c
@@ -189,7 +189,7 @@
 static void
 on_local (evutil_socket_t fd, short what, void *ctx)
 {
-  entry_deliver (ctx);
+  entry_deliver_outcomes (ctx);
 }
 
 /* Configuration callbacks. */
@@ -285,8 +285,9 @@
   CallersInit callers = { entry->base,   entry->holder, entry->members,
                           entry->claims, entry->config, entry->incarnation };
   OperatorsInit operators
-      = { entry->holder, entry->home,     entry->backends, entry->members, entry->config,
-          &entry->hello, entry_announced, is_ready,        entry };
+      = { entry->holder, entry->home,   entry->backends,          entry->members,
+          entry->config, &entry->hello, entry_route_announcement, is_ready,
+          entry };
 
   entry->callers = callers_new (&callers);
   entry->operators = operators_new (&operators);
@@ -336,7 +337,7 @@
   claims_free (entry->claims);
   reconcile_free (entry->reconcile);
   backends_free (entry->backends);
-  entry_deliver (entry);
+  entry_deliver_outcomes (entry);
   home_free (entry->home);
   holder_free (entry->holder);
   members_free (entry->members);
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -197,7 +197,7 @@
         home_may_place,      home_is_home,      get_fleet };
 
 void
-entry_deliver (Entry *entry)
+entry_deliver_outcomes (Entry *entry)
 {
   LocalOutcome *local;
 
@@ -301,7 +301,7 @@
         backends_moved,       backends_outcome, get_fleet };
 
 void
-entry_announced (const Gw__Backend *info, gpointer ctx)
+entry_route_announcement (const Gw__Backend *info, gpointer ctx)
 {
   Entry *entry = ctx;
   const FleetService *service
--- a/src/entry_parts.h
+++ b/src/entry_parts.h
@@ -68,8 +68,9 @@
 /** entry_links_accept - accept a connection on the frame address. */
 void entry_links_accept (evutil_socket_t fd, gpointer ctx);
 
-/** entry_announced - pass a backend server's announcement to the home of its group. */
-void entry_announced (const Gw__Backend *info, gpointer ctx);
+/** entry_route_announcement - pass a backend server's announcement to the home of its
+ * group. */
+void entry_route_announcement (const Gw__Backend *info, gpointer ctx);
 
 /** entry_send_loads - send the load of each group this entry is home for to all
  * holders. */
@@ -82,5 +83,5 @@
 /** entry_push_config - send the configuration to all members with an older one. */
 void entry_push_config (Entry *entry);
 
-/** entry_deliver - pass the queued local outcomes to the holder. */
-void entry_deliver (Entry *entry);
+/** entry_deliver_outcomes - pass the queued local outcomes to the holder. */
+void entry_deliver_outcomes (Entry *entry);
