--- a/src/operators.c
+++ b/src/operators.c
@@ -32,14 +32,14 @@
 }
 
 void
-operators_text_member (JsonBuilder *builder, const char *name, const char *value)
+operators_add_text (JsonBuilder *builder, const char *name, const char *value)
 {
   json_builder_set_member_name (builder, name);
   json_builder_add_string_value (builder, value != NULL ? value : "");
 }
 
 void
-operators_number_member (JsonBuilder *builder, const char *name, gint64 value)
+operators_add_number (JsonBuilder *builder, const char *name, gint64 value)
 {
   json_builder_set_member_name (builder, name);
   json_builder_add_int_value (builder, value);
@@ -53,11 +53,11 @@
   Answer answer = { 200 };
 
   json_builder_begin_object (builder);
-  operators_number_member (builder, "version", (gint64)config_version (config));
-  operators_text_member (builder, "token", config_token (config));
+  operators_add_number (builder, "version", (gint64)config_version (config));
+  operators_add_text (builder, "token", config_token (config));
   json_builder_set_member_name (builder, "confirmed");
   json_builder_add_boolean_value (builder, config_confirmed (config));
-  operators_text_member (builder, "body", config_body (config));
+  operators_add_text (builder, "body", config_body (config));
   json_builder_end_object (builder);
   answer.body = json_to_text (builder);
   answer_send (request, &answer);
@@ -90,9 +90,9 @@
   Answer answer = { results[result].status };
 
   json_builder_begin_object (builder);
-  operators_text_member (builder, "result", results[result].name);
-  operators_number_member (builder, "version", (gint64)version);
-  operators_text_member (builder, "message", message);
+  operators_add_text (builder, "result", results[result].name);
+  operators_add_number (builder, "version", (gint64)version);
+  operators_add_text (builder, "message", message);
   json_builder_end_object (builder);
   answer.body = json_to_text (builder);
   if (pending->request != NULL)
--- a/src/operators_parts.h
+++ b/src/operators_parts.h
@@ -15,8 +15,8 @@
 } PendingChange;
 
 /* operators.c */
-void operators_text_member (JsonBuilder *builder, const char *name, const char *value);
-void operators_number_member (JsonBuilder *builder, const char *name, gint64 value);
+void operators_add_text (JsonBuilder *builder, const char *name, const char *value);
+void operators_add_number (JsonBuilder *builder, const char *name, gint64 value);
 
 /* operators_rows.c */
 void operators_serve_rows (Operators *operators,
--- a/src/operators_rows.c
+++ b/src/operators_rows.c
@@ -14,13 +14,13 @@
   char id[JOB_TEXT_SIZE];
 
   json_builder_begin_object (builder);
-  operators_text_member (builder, "job", job_key_format (&job->key, id));
-  operators_text_member (builder, "team", job->team);
-  operators_text_member (builder, "state", job_state_name (job->state));
-  operators_number_member (builder, "tasks", job->tasks->len);
-  operators_number_member (builder, "open", job->open);
-  operators_text_member (builder, "reason",
-                         job->state == JOB_FAILED ? job_reason_text (job->reason) : "");
+  operators_add_text (builder, "job", job_key_format (&job->key, id));
+  operators_add_text (builder, "team", job->team);
+  operators_add_text (builder, "state", job_state_name (job->state));
+  operators_add_number (builder, "tasks", job->tasks->len);
+  operators_add_number (builder, "open", job->open);
+  operators_add_text (builder, "reason",
+                      job->state == JOB_FAILED ? job_reason_text (job->reason) : "");
   json_builder_end_object (builder);
 }
 
@@ -36,12 +36,12 @@
       const HeldTask *task = g_ptr_array_index (job->tasks, i);
 
       json_builder_begin_object (builder);
-      operators_text_member (builder, "job", id);
-      operators_number_member (builder, "task", task->index);
-      operators_text_member (builder, "service", task->spec->service);
-      operators_text_member (builder, "state", task->ended ? "ended" : "open");
-      operators_number_member (builder, "status",
-                               task->outcome != NULL ? task->outcome->status : 0);
+      operators_add_text (builder, "job", id);
+      operators_add_number (builder, "task", task->index);
+      operators_add_text (builder, "service", task->spec->service);
+      operators_add_text (builder, "state", task->ended ? "ended" : "open");
+      operators_add_number (builder, "status",
+                            task->outcome != NULL ? task->outcome->status : 0);
       json_builder_end_object (builder);
     }
 }
@@ -64,23 +64,22 @@
 add_backend (JsonBuilder *builder, const Backend *backend, gboolean home)
 {
   json_builder_begin_object (builder);
-  operators_text_member (builder, "backend", backend->info->name);
-  operators_text_member (builder, "group", backend->group->name);
-  operators_text_member (builder, "zone", backend->info->zone);
-  operators_text_member (builder, "state", backend_state (backend));
+  operators_add_text (builder, "backend", backend->info->name);
+  operators_add_text (builder, "group", backend->group->name);
+  operators_add_text (builder, "zone", backend->info->zone);
+  operators_add_text (builder, "state", backend_state (backend));
   json_builder_set_member_name (builder, "home");
   json_builder_add_boolean_value (builder, home);
-  operators_text_member (builder, "agent", backend->info->agent_address);
-  operators_text_member (builder, "agent_http",
-                         backend->link != NULL ? link_peer (backend->link)->http_address
-                                               : "");
-  operators_number_member (builder, "slots", backend->info->slots);
-  operators_number_member (builder, "placed", backend->placed);
-  operators_number_member (builder, "others", backend->others);
-  operators_number_member (builder, "answered", backend->answered);
-  operators_number_member (builder, "failed", backend->failed);
-  operators_number_member (builder, "slowness_percent",
-                           (gint64)(backend->slowness * 100));
+  operators_add_text (builder, "agent", backend->info->agent_address);
+  operators_add_text (builder, "agent_http",
+                      backend->link != NULL ? link_peer (backend->link)->http_address
+                                            : "");
+  operators_add_number (builder, "slots", backend->info->slots);
+  operators_add_number (builder, "placed", backend->placed);
+  operators_add_number (builder, "others", backend->others);
+  operators_add_number (builder, "answered", backend->answered);
+  operators_add_number (builder, "failed", backend->failed);
+  operators_add_number (builder, "slowness_percent", (gint64)(backend->slowness * 100));
   json_builder_end_object (builder);
 }
 
@@ -108,12 +107,12 @@
            guint64 version)
 {
   json_builder_begin_object (builder);
-  operators_text_member (builder, "entry", name);
-  operators_text_member (builder, "zone", zone);
-  operators_text_member (builder, "http", http);
-  operators_text_member (builder, "frames", frames);
-  operators_text_member (builder, "state", state);
-  operators_number_member (builder, "config_version", (gint64)version);
+  operators_add_text (builder, "entry", name);
+  operators_add_text (builder, "zone", zone);
+  operators_add_text (builder, "http", http);
+  operators_add_text (builder, "frames", frames);
+  operators_add_text (builder, "state", state);
+  operators_add_number (builder, "config_version", (gint64)version);
   json_builder_end_object (builder);
 }
 
@@ -140,10 +139,10 @@
   JsonBuilder *builder = ctx;
 
   json_builder_begin_object (builder);
-  operators_text_member (builder, "team", team);
-  operators_text_member (builder, "group", group);
-  operators_number_member (builder, "waiting", waiting);
-  operators_number_member (builder, "running", running);
+  operators_add_text (builder, "team", team);
+  operators_add_text (builder, "group", group);
+  operators_add_number (builder, "waiting", waiting);
+  operators_add_number (builder, "running", running);
   json_builder_end_object (builder);
 }
 
@@ -174,8 +173,8 @@
   while (g_hash_table_iter_next (&iter, (gpointer *)&zone, &slots))
     {
       json_builder_begin_object (builder);
-      operators_text_member (builder, "zone", zone);
-      operators_number_member (builder, "slots", GPOINTER_TO_UINT (slots));
+      operators_add_text (builder, "zone", zone);
+      operators_add_number (builder, "slots", GPOINTER_TO_UINT (slots));
       json_builder_end_object (builder);
     }
   g_hash_table_unref (zones);
