--- a/src/cli_main.c
+++ b/src/cli_main.c
@@ -96,7 +96,7 @@
       g_clear_error (&error);
       result = SHELL_USAGE;
     }
-  story = explain_tell (explain);
+  story = explain_render (explain);
   fputs (story, stdout);
   g_free (story);
   explain_free (explain);
--- a/src/explain.c
+++ b/src/explain.c
@@ -239,7 +239,7 @@
 }
 
 char *
-explain_tell (Explain *explain)
+explain_render (Explain *explain)
 {
   GString *out = g_string_new (NULL);
   GHashTable *met;
--- a/src/explain.h
+++ b/src/explain.h
@@ -16,5 +16,5 @@
 /** explain_add_file - Return: FALSE with @error if it cannot be read. */
 gboolean explain_add_file (Explain *explain, const char *path, GError **error);
 
-/** explain_tell - the story. Free with g_free. */
-char *explain_tell (Explain *explain);
+/** explain_render - the story. Free with g_free. */
+char *explain_render (Explain *explain);
--- a/tests/test-explain.c
+++ b/tests/test-explain.c
@@ -62,7 +62,7 @@
   char *story;
 
   explain_add (explain, c->lines);
-  story = explain_tell (explain);
+  story = explain_render (explain);
   at = story;
   for (gsize i = 0; i < G_N_ELEMENTS (c->parts) && c->parts[i] != NULL; i++)
     {
--- a/tests/test-platform.c
+++ b/tests/test-platform.c
@@ -351,7 +351,7 @@
     add_events (explain, scene->entries[i]);
   for (guint i = 0; i < scene->n_servers; i++)
     add_events (explain, scene->agents[i]);
-  story = explain_tell (explain);
+  story = explain_render (explain);
   for (; *parts != NULL; parts++)
     if (strstr (story, *parts) == NULL)
       g_error ("no \"%s\" in the story of %s:\n%s", *parts, job, story);
