--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -36,8 +36,7 @@
     }
 }
 
-/* Acknowledges an outcome of an ended or unknown job, so that its home can drop the job.
- */
+/* Acknowledges an outcome of an ended or unknown job, so that its home drops the job. */
 static void
 ack_stale_outcome (Entry *entry, Link *link, const Gw__Outcome *outcome)
 {
