--- a/src/operators.c
+++ b/src/operators.c
@@ -64,7 +64,7 @@
 }
 
 static void
-on_operator_gone (struct evhttp_connection *connection, void *ctx)
+on_operator_disconnected (struct evhttp_connection *connection, void *ctx)
 {
   PendingChange *pending = ctx;
 
@@ -119,7 +119,7 @@
     value = json_to_string (json_object_get_member (object, "value"), FALSE);
   pending->request = request;
   evhttp_connection_set_closecb (evhttp_request_get_connection (request),
-                                 on_operator_gone, pending);
+                                 on_operator_disconnected, pending);
   config_change (operators->init.config, key, value, if_version, token, on_changed,
                  pending);
   g_free (value);
@@ -170,7 +170,7 @@
 }
 
 static const char *
-object_text (JsonObject *object, const char *name, Findings *findings, gboolean needed)
+read_text (JsonObject *object, const char *name, Findings *findings, gboolean needed)
 {
   if (!json_object_has_member (object, name) && !needed)
     return "";
@@ -181,7 +181,7 @@
 }
 
 static guint
-object_number (JsonObject *object, const char *name, guint fallback, Findings *findings)
+read_number (JsonObject *object, const char *name, guint fallback, Findings *findings)
 {
   JsonNode *node = json_object_get_member (object, name);
   gint64 number;
@@ -205,13 +205,13 @@
   char *ip = NULL;
   guint16 port;
 
-  info->name = (char *)object_text (object, "name", findings, TRUE);
-  info->service = (char *)object_text (object, "service", findings, TRUE);
-  info->zone = (char *)object_text (object, "zone", findings, FALSE);
-  info->http_address = (char *)object_text (object, "address", findings, TRUE);
-  info->slots = object_number (object, "slots", 8, findings);
-  info->connections = object_number (object, "connections", 64, findings);
-  info->memory_mb = object_number (object, "memory_mb", 0, findings);
+  info->name = (char *)read_text (object, "name", findings, TRUE);
+  info->service = (char *)read_text (object, "service", findings, TRUE);
+  info->zone = (char *)read_text (object, "zone", findings, FALSE);
+  info->http_address = (char *)read_text (object, "address", findings, TRUE);
+  info->slots = read_number (object, "slots", 8, findings);
+  info->connections = read_number (object, "connections", 64, findings);
+  info->memory_mb = read_number (object, "memory_mb", 0, findings);
   info->leaving
       = json_object_has_member (object, "leaving")
         && json_object_get_boolean_member_with_default (object, "leaving", FALSE);
--- a/src/operators.h
+++ b/src/operators.h
@@ -1,6 +1,6 @@
 #pragma once
-/* Operators' and machines' pages over HTTP: state in rows, configuration, counters, the
- * time line, readiness and liveness, announcements. */
+/* HTTP endpoints for operators and tools: rows of state, configuration, counters, the
+ * timeline, readiness and liveness, announcements of backend servers. */
 #include "backends.h"
 #include "config.h"
 #include "holder.h"
@@ -19,7 +19,7 @@
   Members *members;
   Config *config;
   const Gw__Hello *hello;
-  /* A backend server without an agent announced itself. */
+  /* Called when a backend server without an agent announces itself. */
   void (*announced) (const Gw__Backend *info, gpointer ctx);
   gboolean (*ready) (gpointer ctx);
   gpointer ctx;
@@ -27,7 +27,10 @@
 
 Operators *operators_new (const OperatorsInit *init);
 void operators_free (Operators *operators);
+
+/** operators_serve - Return: FALSE if the path is none of these endpoints. */
 gboolean operators_serve (Operators *operators, struct evhttp_request *request);
 
-/** operators_serve_common - the pages every daemon has: counters, time line, liveness. */
+/** operators_serve_common - serve the endpoints of every daemon: counters, timeline,
+ * liveness. */
 gboolean operators_serve_common (struct evhttp_request *request);
--- a/src/operators_parts.h
+++ b/src/operators_parts.h
@@ -1,6 +1,6 @@
 #pragma once
-/* What the parts of the operators' side share. operators.c serves pages and changes,
- * operators_rows.c the rows of state. */
+/* Shared by operators.c (endpoints, configuration changes) and operators_rows.c (rows of
+ * state). */
 #include "operators.h"
 
 struct Operators
@@ -8,10 +8,10 @@
   OperatorsInit init;
 };
 
-/* A change of configuration whose operator waits. */
+/* A configuration change in progress, and the operator's request that waits for it. */
 typedef struct
 {
-  struct evhttp_request *request; /* NULL once the operator has gone */
+  struct evhttp_request *request; /* NULL once the operator disconnected */
 } PendingChange;
 
 /* operators.c */
--- a/src/operators_rows.c
+++ b/src/operators_rows.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "operators"
-/* State in rows: jobs, tasks, backend servers, entries, teams, workers. */
+/* Rows of state: jobs, tasks, backend servers, entries, teams, workers. */
 #include "answers.h"
 #include "http.h"
 #include "operators_parts.h"
@@ -180,7 +180,7 @@
   g_hash_table_unref (zones);
 }
 
-/* Return: FALSE if there are no rows of that name. */
+/* Return: FALSE if @what names no rows. */
 static gboolean
 add_rows (Operators *operators, const char *what, JsonBuilder *builder)
 {
