--- a/src/client.c
+++ b/src/client.c
@@ -16,7 +16,7 @@
   gboolean done;
   HttpEnd end;
   ClientAnswer *answer;
-} Waiting;
+} PendingCall;
 
 Client *
 client_new (guint timeout_ms)
@@ -55,14 +55,14 @@
 static void
 on_answer (const HttpAnswer *from, gpointer ctx)
 {
-  Waiting *waiting = ctx;
+  PendingCall *pending = ctx;
 
-  waiting->done = TRUE;
-  waiting->end = from->end;
-  waiting->answer->status = from->status;
-  waiting->answer->retry_after_s
+  pending->done = TRUE;
+  pending->end = from->end;
+  pending->answer->status = from->status;
+  pending->answer->retry_after_s
       = from->retry_after != NULL ? (guint)atoi (from->retry_after) : 0;
-  waiting->answer->body = g_strndup (from->body != NULL ? from->body : "", from->size);
+  pending->answer->body = g_strndup (from->body != NULL ? from->body : "", from->size);
 }
 
 gboolean
@@ -74,23 +74,23 @@
              ClientAnswer *answer,
              GError **error)
 {
-  Waiting waiting = { FALSE, HTTP_NOT_SENT, answer };
+  PendingCall pending = { FALSE, HTTP_NOT_SENT, answer };
   HttpCall call = { .method = method,
                     .path = path,
                     .body = body,
                     .size = body != NULL ? strlen (body) : 0,
                     .timeout_ms = client->timeout_ms,
                     .done = on_answer,
-                    .ctx = &waiting };
+                    .ctx = &pending };
 
   http_pool_call (pool_for (client, address), &call);
-  while (!waiting.done)
+  while (!pending.done)
     event_base_loop (client->base, EVLOOP_ONCE);
-  if (waiting.end == HTTP_ANSWERED)
+  if (pending.end == HTTP_ANSWERED)
     return TRUE;
   client_answer_clear (answer);
   g_set_error (error, GODWITSPAR_ERROR, GODWITSPAR_ERROR_UNAVAILABLE, "%s %s", address,
-               waiting.end == HTTP_NOT_SENT ? "cannot be reached"
+               pending.end == HTTP_NOT_SENT ? "cannot be reached"
                                             : "took the request and did not answer");
   return FALSE;
 }
--- a/src/client.h
+++ b/src/client.h
@@ -1,5 +1,5 @@
 #pragma once
-/* The operator's side of HTTP: one call at a time, waited for. */
+/* Blocking HTTP client of the operator's shell, one call at a time. */
 #include "findings.h"
 
 #include <event2/http.h>
@@ -18,9 +18,9 @@
 void client_free (Client *client);
 
 /**
- * client_call - call a process and wait for its answer.
+ * client_call - send a request and wait for the answer.
  * @error: GODWITSPAR_ERROR_UNAVAILABLE if no answer came.
- * Return: FALSE on error; else @answer is filled, clear it.
+ * Return: FALSE on error; else @answer is filled, free it with client_answer_clear ().
  */
 gboolean client_call (Client *client,
                       const char *address,
@@ -31,6 +31,6 @@
                       GError **error);
 void client_answer_clear (ClientAnswer *answer);
 
-/** client_rows - GET a page of rows. Return: NULL with @error; json_array_unref() it. */
+/** client_rows - GET /v1/rows/@what. Return: NULL on error; json_array_unref () it. */
 JsonArray *
 client_rows (Client *client, const char *address, const char *what, GError **error);
--- a/src/command.c
+++ b/src/command.c
@@ -26,7 +26,7 @@
          "help\n";
 }
 
-/* The scanner's position lies behind the token it has looked at. */
+/* Column of the next token: the scanner's position is at the end of the peeked token. */
 static guint
 next_column (Parser *parser)
 {
@@ -44,7 +44,7 @@
 }
 
 static void
-complain (Parser *parser, const char *expected)
+syntax_error (Parser *parser, const char *expected)
 {
   char *place = g_strdup_printf ("column %u", next_column (parser));
 
@@ -71,9 +71,9 @@
          && strcmp (parser->scanner->next_value.v_identifier, word) == 0;
 }
 
-/* Take the next word if it is @word. */
+/* Consumes the next word if it is @word. */
 static gboolean
-take_word (Parser *parser, const char *word)
+accept_word (Parser *parser, const char *word)
 {
   if (!next_is_word (parser, word))
     return FALSE;
@@ -82,7 +82,7 @@
 }
 
 static gboolean
-take_char (Parser *parser, char c)
+accept_char (Parser *parser, char c)
 {
   if (peek (parser) != (GTokenType)(guchar)c)
     return FALSE;
@@ -90,15 +90,15 @@
   return TRUE;
 }
 
-/* Return: the next word or text, NULL with a finding if there is none. */
+/* Return: the next word or string, NULL with a finding if there is none. */
 static char *
-need_word (Parser *parser, const char *expected)
+expect_word (Parser *parser, const char *expected)
 {
   GTokenType type = peek (parser);
 
   if (type != G_TOKEN_IDENTIFIER && type != G_TOKEN_STRING)
     {
-      complain (parser, expected);
+      syntax_error (parser, expected);
       return NULL;
     }
   g_scanner_get_next_token (parser->scanner);
@@ -106,7 +106,7 @@
 }
 
 static gboolean
-need_number (Parser *parser, gint64 *number)
+expect_number (Parser *parser, gint64 *number)
 {
   char *word;
   guint64 value;
@@ -114,7 +114,7 @@
 
   if (peek (parser) != G_TOKEN_IDENTIFIER)
     {
-      complain (parser, "a number");
+      syntax_error (parser, "a number");
       return FALSE;
     }
   word = g_strdup (parser->scanner->next_value.v_identifier);
@@ -122,7 +122,7 @@
   g_free (word);
   if (!ok)
     {
-      complain (parser, "a number");
+      syntax_error (parser, "a number");
       return FALSE;
     }
   g_scanner_get_next_token (parser->scanner);
@@ -131,19 +131,19 @@
 }
 
 static gboolean
-need_compare (Parser *parser, Compare *compare)
+expect_comparison (Parser *parser, Compare *compare)
 {
-  if (take_char (parser, '='))
+  if (accept_char (parser, '='))
     *compare = COMPARE_EQUAL;
-  else if (take_char (parser, '<'))
-    *compare = take_char (parser, '=') ? COMPARE_LESS_EQUAL : COMPARE_LESS;
-  else if (take_char (parser, '>'))
-    *compare = take_char (parser, '=') ? COMPARE_GREATER_EQUAL : COMPARE_GREATER;
-  else if (take_char (parser, '!') && take_char (parser, '='))
+  else if (accept_char (parser, '<'))
+    *compare = accept_char (parser, '=') ? COMPARE_LESS_EQUAL : COMPARE_LESS;
+  else if (accept_char (parser, '>'))
+    *compare = accept_char (parser, '=') ? COMPARE_GREATER_EQUAL : COMPARE_GREATER;
+  else if (accept_char (parser, '!') && accept_char (parser, '='))
     *compare = COMPARE_NOT_EQUAL;
   else
     {
-      complain (parser, "a comparison: = != < <= > >=");
+      syntax_error (parser, "a comparison: = != < <= > >=");
       return FALSE;
     }
   return TRUE;
@@ -165,10 +165,10 @@
   Condition *condition = g_new0 (Condition, 1);
 
   g_ptr_array_add (command->conditions, condition);
-  condition->field = need_word (parser, "a field");
-  if (condition->field == NULL || !need_compare (parser, &condition->compare))
+  condition->field = expect_word (parser, "a field");
+  if (condition->field == NULL || !expect_comparison (parser, &condition->compare))
     return FALSE;
-  condition->value = need_word (parser, "a value");
+  condition->value = expect_word (parser, "a value");
   return condition->value != NULL;
 }
 
@@ -177,26 +177,26 @@
 {
   gint64 limit = 0;
 
-  if (take_word (parser, "where"))
+  if (accept_word (parser, "where"))
     {
       do
         if (!parse_condition (parser, command))
           return FALSE;
-      while (take_word (parser, "and"));
+      while (accept_word (parser, "and"));
     }
-  if (take_word (parser, "order"))
+  if (accept_word (parser, "order"))
     {
-      if (!take_word (parser, "by"))
+      if (!accept_word (parser, "by"))
         {
-          complain (parser, "'by'");
+          syntax_error (parser, "'by'");
           return FALSE;
         }
-      command->order = need_word (parser, "a field");
+      command->order = expect_word (parser, "a field");
       if (command->order == NULL)
         return FALSE;
-      command->descending = take_word (parser, "desc");
+      command->descending = accept_word (parser, "desc");
     }
-  if (take_word (parser, "limit") && !need_number (parser, &limit))
+  if (accept_word (parser, "limit") && !expect_number (parser, &limit))
     return FALSE;
   command->limit = (guint)MIN (limit, G_MAXUINT);
   return TRUE;
@@ -205,12 +205,12 @@
 static void
 parse_show (Parser *parser, Command *command)
 {
-  if (take_word (parser, "config"))
+  if (accept_word (parser, "config"))
     {
       command->kind = COMMAND_SHOW_CONFIG;
       return;
     }
-  if (take_word (parser, "counters"))
+  if (accept_word (parser, "counters"))
     {
       command->kind = COMMAND_SHOW_COUNTERS;
       return;
@@ -219,26 +219,26 @@
   if (peek (parser) != G_TOKEN_IDENTIFIER
       || !g_strv_contains (row_names, parser->scanner->next_value.v_identifier))
     {
-      complain (parser,
-                "jobs, tasks, teams, workers, backends, entries, config or counters");
+      syntax_error (parser,
+                    "jobs, tasks, teams, workers, backends, entries, config or counters");
       return;
     }
-  command->what = need_word (parser, "rows");
+  command->operand = expect_word (parser, "rows");
   parse_row_options (parser, command);
 }
 
 static void
 parse_if_version (Parser *parser, Command *command)
 {
-  if (!take_word (parser, "if"))
+  if (!accept_word (parser, "if"))
     return;
-  if (!take_word (parser, "version"))
-    complain (parser, "'version'");
+  if (!accept_word (parser, "version"))
+    syntax_error (parser, "'version'");
   else
-    need_number (parser, &command->if_version);
+    expect_number (parser, &command->if_version);
 }
 
-/* Words that are JSON on their own stay so; others become texts. */
+/* Numbers, true and false stay as they are; any other word becomes a JSON string. */
 static char *
 value_to_json (const char *word)
 {
@@ -263,15 +263,15 @@
   char *word;
 
   command->kind = COMMAND_SET;
-  command->key = need_word (parser, "a key such as team.NAME.weight");
+  command->key = expect_word (parser, "a key such as team.NAME.weight");
   if (command->key == NULL)
     return;
-  if (!take_char (parser, '='))
+  if (!accept_char (parser, '='))
     {
-      complain (parser, "'='");
+      syntax_error (parser, "'='");
       return;
     }
-  word = need_word (parser, "a value");
+  word = expect_word (parser, "a value");
   if (word == NULL)
     return;
   command->value = value_to_json (word);
@@ -283,7 +283,7 @@
 parse_unset (Parser *parser, Command *command)
 {
   command->kind = COMMAND_SET;
-  command->key = need_word (parser, "a key");
+  command->key = expect_word (parser, "a key");
   if (command->key != NULL)
     parse_if_version (parser, command);
 }
@@ -295,16 +295,16 @@
   char *name;
 
   command->kind = COMMAND_SET;
-  if (take_word (parser, "backend"))
+  if (accept_word (parser, "backend"))
     kind = "backend";
-  else if (take_word (parser, "entry"))
+  else if (accept_word (parser, "entry"))
     kind = "entry";
   else
     {
-      complain (parser, "backend or entry");
+      syntax_error (parser, "backend or entry");
       return;
     }
-  name = need_word (parser, "a name");
+  name = expect_word (parser, "a name");
   if (name == NULL)
     return;
   command->key = g_strdup_printf ("drain.%s.%s", kind, name);
@@ -317,14 +317,14 @@
 static void
 split_task (Parser *parser, Command *command)
 {
-  char *slash = strchr (command->what, '/');
+  char *slash = strchr (command->operand, '/');
   guint64 task;
 
   if (slash == NULL)
     return;
   if (!g_ascii_string_to_unsigned (slash + 1, 10, 0, G_MAXINT32, &task, NULL))
     {
-      complain (parser, "a task's number after '/'");
+      syntax_error (parser, "a task's number after '/'");
       return;
     }
   *slash = '\0';
@@ -337,45 +337,45 @@
   command->kind = COMMAND_TIMELINE;
   if (!at_end (parser) && !next_is_word (parser, "since"))
     {
-      command->what = need_word (parser, "a job");
-      if (command->what == NULL)
+      command->operand = expect_word (parser, "a job");
+      if (command->operand == NULL)
         return;
       split_task (parser, command);
     }
-  if (take_word (parser, "since"))
-    need_number (parser, &command->since_s);
+  if (accept_word (parser, "since"))
+    expect_number (parser, &command->since_s);
 }
 
 static void
 parse_verb (Parser *parser, Command *command)
 {
-  if (take_word (parser, "show"))
+  if (accept_word (parser, "show"))
     parse_show (parser, command);
-  else if (take_word (parser, "set"))
+  else if (accept_word (parser, "set"))
     parse_set (parser, command);
-  else if (take_word (parser, "unset"))
+  else if (accept_word (parser, "unset"))
     parse_unset (parser, command);
-  else if (take_word (parser, "drain"))
+  else if (accept_word (parser, "drain"))
     parse_drain (parser, command, TRUE);
-  else if (take_word (parser, "undrain"))
+  else if (accept_word (parser, "undrain"))
     parse_drain (parser, command, FALSE);
-  else if (take_word (parser, "submit"))
+  else if (accept_word (parser, "submit"))
     {
       command->kind = COMMAND_SUBMIT;
-      command->what = need_word (parser, "a file");
+      command->operand = expect_word (parser, "a file");
     }
-  else if (take_word (parser, "cancel"))
+  else if (accept_word (parser, "cancel"))
     {
       command->kind = COMMAND_CANCEL;
-      command->what = need_word (parser, "a job");
+      command->operand = expect_word (parser, "a job");
     }
-  else if (take_word (parser, "timeline"))
+  else if (accept_word (parser, "timeline"))
     parse_timeline (parser, command);
-  else if (take_word (parser, "help"))
+  else if (accept_word (parser, "help"))
     command->kind = COMMAND_HELP;
   else
-    complain (parser,
-              "show, set, unset, drain, undrain, submit, cancel, timeline or help");
+    syntax_error (parser,
+                  "show, set, unset, drain, undrain, submit, cancel, timeline or help");
 }
 
 static GScanner *
@@ -383,7 +383,7 @@
 {
   GScanner *scanner = g_scanner_new (NULL);
 
-  /* Every run of these is a word: names, keys, numbers, job ids and paths alike. */
+  /* Names, keys, numbers, job ids and paths all scan as words. */
   scanner->config->cset_identifier_first = G_CSET_a_2_z G_CSET_A_2_Z "0123456789_./-+~";
   scanner->config->cset_identifier_nth = G_CSET_a_2_z G_CSET_A_2_Z "0123456789_./-+~:";
   scanner->config->scan_identifier_1char = TRUE;
@@ -417,7 +417,7 @@
   command->task = -1;
   parse_verb (&parser, command);
   if (findings_count (findings) == before && !at_end (&parser))
-    complain (&parser, "the end of the command");
+    syntax_error (&parser, "the end of the command");
   if (findings_count (findings) > before)
     g_clear_pointer (&command, command_free);
 
@@ -432,7 +432,7 @@
   if (command == NULL)
     return;
   g_ptr_array_unref (command->conditions);
-  g_free (command->what);
+  g_free (command->operand);
   g_free (command->order);
   g_free (command->key);
   g_free (command->value);
--- a/src/command.h
+++ b/src/command.h
@@ -1,5 +1,5 @@
 #pragma once
-/* The operators' language: one grammar, lexed by GScanner; command_help () shows it. */
+/* Parser of the operator command language; command_help () prints the grammar. */
 #include "findings.h"
 
 #include <glib.h>
@@ -36,29 +36,29 @@
 typedef struct
 {
   CommandKind kind;
-  char *what;            /* rows shown, file submitted, job cancelled or looked at */
+  char *operand;         /* rows to show, file to submit, job to cancel or to trace */
   GPtrArray *conditions; /* of Condition */
   char *order;
   gboolean descending;
   guint limit;    /* 0: none */
-  gint64 task;    /* of the time line; -1: all */
-  gint64 since_s; /* only events of the last seconds; 0: all */
+  gint64 task;    /* of the timeline; -1: all */
+  gint64 since_s; /* only events of the last since_s seconds; 0: all */
   char *key;
   char *value;       /* JSON text; NULL removes the key */
-  gint64 if_version; /* -1: whatever stands */
+  gint64 if_version; /* -1: any */
 } Command;
 
 /**
- * command_parse - read one command.
- * @findings: what is wrong, at "column N".
- * Return: NULL if anything is; an empty line is nothing wrong and nothing to do: NULL
- * without findings.
+ * command_parse - parse one command.
+ * @findings: syntax errors, each at "column N".
+ * Return: NULL on a syntax error, and without findings for an empty line.
  */
 Command *command_parse (const char *text, Findings *findings);
 void command_free (Command *command);
 
-/** command_matches - whether a row's value satisfies a condition; numbers as numbers. */
+/** command_matches - whether a row's value satisfies a condition; compared as numbers if
+ * both are numbers, else as text. */
 gboolean command_matches (const Condition *condition, const char *value);
 
-/** command_help - the grammar, for people. */
+/** command_help - the grammar as help text. */
 const char *command_help (void);
--- a/src/shell.c
+++ b/src/shell.c
@@ -35,7 +35,7 @@
 }
 
 static ShellResult
-report (GError *error)
+report_error (GError *error)
 {
   ShellResult result = g_error_matches (error, GODWITSPAR_ERROR, GODWITSPAR_ERROR_INPUT)
                            ? SHELL_USAGE
@@ -68,7 +68,7 @@
 
   if (!client_call (shell->client, shell->init.entry, method, path, body, &answer,
                     &error))
-    return report (error);
+    return report_error (error);
   result = result_of_status (answer.status);
   fprintf (result == SHELL_OK ? stdout : stderr, "%s%s", answer.body,
            g_str_has_suffix (answer.body, "\n") ? "" : "\n");
@@ -76,7 +76,7 @@
   return result;
 }
 
-/* Rows that each entry has of its own; the others are alike at all. */
+/* Whether each entry has rows of its own; all other rows are the same at every entry. */
 static gboolean
 is_local (const char *what)
 {
@@ -84,9 +84,10 @@
          || strcmp (what, "teams") == 0 || strcmp (what, "backends") == 0;
 }
 
-/* Several entries know a backend server; its home knows best. */
+/* Keeps one row per backend server, that of its home if present: several entries may list
+ * the server, and the home's row is the most accurate. */
 static JsonArray *
-keep_homes (JsonArray *rows)
+prefer_home_rows (JsonArray *rows)
 {
   GHashTable *best = g_hash_table_new (g_str_hash, g_str_equal);
   JsonArray *kept = json_array_new ();
@@ -175,7 +176,7 @@
   g_ptr_array_unref (addresses);
   if (strcmp (what, "backends") == 0)
     {
-      JsonArray *kept = keep_homes (all);
+      JsonArray *kept = prefer_home_rows (all);
 
       json_array_unref (all);
       return kept;
@@ -187,7 +188,7 @@
 show_rows (Shell *shell, const Command *command)
 {
   GError *error = NULL;
-  JsonArray *rows = collect_rows (shell, command->what, &error);
+  JsonArray *rows = collect_rows (shell, command->operand, &error);
   JsonArray *chosen = NULL;
   ShellResult result = SHELL_OK;
   char *page;
@@ -203,7 +204,7 @@
       g_free (page);
     }
   else
-    result = report (error);
+    result = report_error (error);
   g_clear_pointer (&chosen, json_array_unref);
   g_clear_pointer (&rows, json_array_unref);
   return result;
@@ -217,7 +218,7 @@
 }
 
 static ShellResult
-change (Shell *shell, const Command *command)
+change_config (Shell *shell, const Command *command)
 {
   JsonBuilder *builder = json_builder_new ();
   char *token = g_uuid_string_random ();
@@ -256,7 +257,7 @@
   GError *error = NULL;
   ShellResult result;
 
-  if (!g_file_get_contents (command->what, &body, NULL, &error))
+  if (!g_file_get_contents (command->operand, &body, NULL, &error))
     {
       fprintf (stderr, "godwitspar: %s\n", error->message);
       g_error_free (error);
@@ -270,17 +271,17 @@
 static ShellResult
 cancel (Shell *shell, const Command *command)
 {
-  char *path = g_strdup_printf ("/v1/jobs/%s", command->what);
+  char *path = g_strdup_printf ("/v1/jobs/%s", command->operand);
   ClientAnswer answer = { 0 };
   GError *error = NULL;
   ShellResult result = SHELL_OK;
 
   if (!client_call (shell->client, shell->init.entry, EVHTTP_REQ_DELETE, path, NULL,
                     &answer, &error))
-    result = report (error);
+    result = report_error (error);
   else
     {
-      /* 409 is the cancelled job's own answer. */
+      /* The status is no guide: a cancelled job itself is answered with 409. */
       if (strstr (answer.body, "\"state\":\"cancelled\"") == NULL)
         result = SHELL_FAILED;
       printf ("%s\n", answer.body);
@@ -291,7 +292,7 @@
 }
 
 static void
-trace_process (Shell *shell, Trace *trace, const char *address, const char *path)
+add_trace_page (Shell *shell, Trace *trace, const char *address, const char *path)
 {
   ClientAnswer answer = { 0 };
   GError *error = NULL;
@@ -307,7 +308,7 @@
 }
 
 static void
-trace_agents (Shell *shell, Trace *trace, const char *path)
+add_agent_trace_pages (Shell *shell, Trace *trace, const char *path)
 {
   JsonArray *rows = collect_rows (shell, "backends", NULL);
 
@@ -317,7 +318,7 @@
           json_array_get_object_element (rows, i), "agent_http", "");
 
       if (address[0] != '\0')
-        trace_process (shell, trace, address, path);
+        add_trace_page (shell, trace, address, path);
     }
   g_clear_pointer (&rows, json_array_unref);
 }
@@ -329,9 +330,9 @@
 
   if (command->since_s > 0)
     since_ms = g_get_real_time () / 1000 - command->since_s * 1000;
-  if (command->what == NULL)
+  if (command->operand == NULL)
     return g_strdup_printf ("/timeline?since_ms=%" G_GINT64_FORMAT, since_ms);
-  return g_strdup_printf ("/timeline?job=%s&since_ms=%" G_GINT64_FORMAT, command->what,
+  return g_strdup_printf ("/timeline?job=%s&since_ms=%" G_GINT64_FORMAT, command->operand,
                           since_ms);
 }
 
@@ -345,12 +346,12 @@
   char *page;
 
   if (addresses == NULL)
-    return report (error);
+    return report_error (error);
   trace = trace_new ();
   path = timeline_path (command);
   for (guint i = 0; i < addresses->len; i++)
-    trace_process (shell, trace, g_ptr_array_index (addresses, i), path);
-  trace_agents (shell, trace, path);
+    add_trace_page (shell, trace, g_ptr_array_index (addresses, i), path);
+  add_agent_trace_pages (shell, trace, path);
   if (command->task >= 0)
     trace_keep_task (trace, command->task);
   page = shell->init.chrome ? trace_chrome (trace) : trace_text (trace);
@@ -363,7 +364,7 @@
 }
 
 static ShellResult
-carry_out (Shell *shell, const Command *command)
+execute (Shell *shell, const Command *command)
 {
   switch (command->kind)
     {
@@ -374,7 +375,7 @@
     case COMMAND_SHOW_COUNTERS:
       return call_and_print (shell, EVHTTP_REQ_GET, "/counters", NULL);
     case COMMAND_SET:
-      return change (shell, command);
+      return change_config (shell, command);
     case COMMAND_SUBMIT:
       return submit (shell, command);
     case COMMAND_CANCEL:
@@ -401,7 +402,7 @@
   if (findings_count (findings) > 0)
     result = SHELL_USAGE;
   else if (command != NULL)
-    result = carry_out (shell, command);
+    result = execute (shell, command);
   command_free (command);
   findings_free (findings);
   return result;
--- a/tests/test-command.c
+++ b/tests/test-command.c
@@ -1,4 +1,4 @@
-/* The operators' language and the rows it selects; settings and their sample. */
+/* Operator command parser, row selection, settings and their samples. */
 #include "cases.h"
 #include "command.h"
 #include "rows.h"
@@ -143,7 +143,7 @@
   const char *name;
   SettingsRole role;
   const char *text;
-  const char *faults[4]; /* all must be named, each with its line */
+  const char *faults[4]; /* all must be reported, each with its line */
 } SettingsCase;
 
 static const SettingsCase settings_cases[] = {
@@ -222,7 +222,7 @@
         { "platform-entry", SETTINGS_LEASED_ENTRY, SAMPLES "/platform-entry.toml" },
         { "platform-agent", SETTINGS_LEASED_AGENT, SAMPLES "/platform-agent.toml" } };
 
-/* The committed sample is what the code prints, and loads without a fault. */
+/* The committed sample equals what the code prints, and loads without errors. */
 static void
 test_sample (gconstpointer data)
 {
