--- a/src/cli_main.c
+++ b/src/cli_main.c
@@ -1,4 +1,4 @@
-/* godwitspar: a thin main over the operator's shell. */
+/* godwitspar: the operator's command line. */
 #include "explain.h"
 #include "shell.h"
 #include "zone_report.h"
@@ -47,8 +47,9 @@
   g_option_context_set_summary (
       context,
       "Carries out operators' commands; without one, reads them from standard input.\n"
-      "explain ID FILE... tells a request's story from collected event lines,\n"
-      "zones FILE... which availability zones are closed, by which processes' word.");
+      "explain ID FILE... prints a request's trace from collected event lines,\n"
+      "zones FILE... which availability zones are closed, and which processes report "
+      "it.");
   g_option_context_set_description (context, command_help ());
   g_option_context_add_main_entries (context, entries, NULL);
   ok = g_option_context_parse (context, &argc, &argv, error);
@@ -72,14 +73,13 @@
   return result;
 }
 
-/* Needs no entry: the logs have been collected. */
 static ShellResult
 explain (char **words)
 {
   Explain *explain = NULL;
   GError *error = NULL;
   ShellResult result = SHELL_OK;
-  char *story;
+  char *trace;
 
   if (words[1] == NULL || words[2] == NULL)
     {
@@ -96,15 +96,15 @@
       g_clear_error (&error);
       result = SHELL_USAGE;
     }
-  story = explain_render (explain);
-  fputs (story, stdout);
-  g_free (story);
+  trace = explain_render (explain);
+  fputs (trace, stdout);
+  g_free (trace);
   explain_free (explain);
   return result;
 }
 
 static ShellResult
-tell_zones (char **words)
+report_zones (char **words)
 {
   GPtrArray *texts = g_ptr_array_new_with_free_func (g_free);
   GError *error = NULL;
@@ -140,14 +140,14 @@
   return result;
 }
 
-/* Commands over collected lines, which need no entry. */
+/* Commands that read collected event lines and need no entry. */
 static const struct
 {
   const char *name;
   ShellResult (*run) (char **words);
-} file_commands[] = { { "explain", explain }, { "zones", tell_zones } };
+} file_commands[] = { { "explain", explain }, { "zones", report_zones } };
 
-/* Return: FALSE if it is none of these. */
+/* Return: FALSE if the command is none of these. */
 static gboolean
 run_file_command (char **words, ShellResult *result)
 {
--- a/src/explain.c
+++ b/src/explain.c
@@ -3,19 +3,19 @@
 
 #include <string.h>
 
-/* What processes believed this long before the request's first line may have decided it:
- * a server without trust gets it back after 3.2 s at the most. */
-#define BEFORE_MS 3500
-#define AFTER_MS 500
-/* Columns of the printed story. */
+/* A state change this long before the request's first line may have decided it: a server
+ * that lost all trust regains it after at most 3.2 s. */
+#define WINDOW_BEFORE_MS 3500
+#define WINDOW_AFTER_MS 500
+/* Columns of the printed trace. */
 #define PROCESS_WIDTH 24
 #define EVENT_WIDTH 20
 
 struct Explain
 {
   char *job;
-  GPtrArray *lines; /* the request's own */
-  GPtrArray *beliefs;
+  GPtrArray *lines;         /* of the request */
+  GPtrArray *state_changes; /* lines without a job */
 };
 
 Explain *
@@ -25,7 +25,7 @@
 
   explain->job = g_strdup (job);
   explain->lines = g_ptr_array_new_with_free_func (event_line_free);
-  explain->beliefs = g_ptr_array_new_with_free_func (event_line_free);
+  explain->state_changes = g_ptr_array_new_with_free_func (event_line_free);
   return explain;
 }
 
@@ -33,7 +33,7 @@
 explain_free (Explain *explain)
 {
   g_ptr_array_unref (explain->lines);
-  g_ptr_array_unref (explain->beliefs);
+  g_ptr_array_unref (explain->state_changes);
   g_free (explain->job);
   g_free (explain);
 }
@@ -45,11 +45,11 @@
 
   if (line == NULL)
     return;
-  line->number = explain->lines->len + explain->beliefs->len;
+  line->number = explain->lines->len + explain->state_changes->len;
   if (strcmp (line->job, explain->job) == 0)
     g_ptr_array_add (explain->lines, line);
   else if (strcmp (line->job, "-") == 0)
-    g_ptr_array_add (explain->beliefs, line);
+    g_ptr_array_add (explain->state_changes, line);
   else
     event_line_free (line);
 }
@@ -87,45 +87,43 @@
   return left->number < right->number ? -1 : 1;
 }
 
-/* The processes that the request met: those that wrote of it, and agents it was placed
- * on.
- */
+/* The processes with lines about the request and the agents it was placed on. */
 static GHashTable *
-processes_met (const Explain *explain)
+involved_processes (const Explain *explain)
 {
-  GHashTable *met = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  GHashTable *involved = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
   for (guint i = 0; i < explain->lines->len; i++)
     {
       const EventLine *line = g_ptr_array_index (explain->lines, i);
       char *agent = event_line_value (line->rest, "agent");
 
-      g_hash_table_add (met, g_strdup (line->process));
+      g_hash_table_add (involved, g_strdup (line->process));
       if (agent != NULL)
-        g_hash_table_add (met, agent);
+        g_hash_table_add (involved, agent);
     }
-  return met;
+  return involved;
 }
 
-/* A change of belief matters if it was in a process that the request met, about one that
- * it met or about none in particular. */
+/* A state change is relevant if an involved process reports it, about an involved process
+ * or about none in particular. */
 static gboolean
-concerns (const EventLine *line, GHashTable *met)
+is_relevant (const EventLine *line, GHashTable *involved)
 {
   char *agent = event_line_value (line->rest, "agent");
   char *peer = event_line_value (line->rest, "peer");
-  gboolean known = (agent == NULL || g_hash_table_contains (met, agent))
-                   && (peer == NULL || g_hash_table_contains (met, peer));
+  gboolean known = (agent == NULL || g_hash_table_contains (involved, agent))
+                   && (peer == NULL || g_hash_table_contains (involved, peer));
 
   g_free (agent);
   g_free (peer);
-  return known && g_hash_table_contains (met, line->process);
+  return known && g_hash_table_contains (involved, line->process);
 }
 
 static GPtrArray *
-story_of (Explain *explain, GHashTable *met)
+merge_lines (Explain *explain, GHashTable *involved)
 {
-  GPtrArray *story = g_ptr_array_new ();
+  GPtrArray *trace = g_ptr_array_new ();
   const EventLine *first;
   const EventLine *last;
 
@@ -133,21 +131,22 @@
   first = g_ptr_array_index (explain->lines, 0);
   last = g_ptr_array_index (explain->lines, explain->lines->len - 1);
   for (guint i = 0; i < explain->lines->len; i++)
-    g_ptr_array_add (story, g_ptr_array_index (explain->lines, i));
-  for (guint i = 0; i < explain->beliefs->len; i++)
+    g_ptr_array_add (trace, g_ptr_array_index (explain->lines, i));
+  for (guint i = 0; i < explain->state_changes->len; i++)
     {
-      EventLine *line = g_ptr_array_index (explain->beliefs, i);
+      EventLine *line = g_ptr_array_index (explain->state_changes, i);
 
-      if (line->time_ms >= first->time_ms - BEFORE_MS
-          && line->time_ms <= last->time_ms + AFTER_MS && concerns (line, met))
-        g_ptr_array_add (story, line);
+      if (line->time_ms >= first->time_ms - WINDOW_BEFORE_MS
+          && line->time_ms <= last->time_ms + WINDOW_AFTER_MS
+          && is_relevant (line, involved))
+        g_ptr_array_add (trace, line);
     }
-  g_ptr_array_sort (story, compare_lines);
-  return story;
+  g_ptr_array_sort (trace, compare_lines);
+  return trace;
 }
 
 static void
-tell_line (GString *out, const EventLine *line, gint64 begin_ms)
+render_line (GString *out, const EventLine *line, gint64 begin_ms)
 {
   g_string_append_printf (out, "%+9.3f s  %-*s %-*s %s%s\n",
                           (double)(line->time_ms - begin_ms) / 1000, PROCESS_WIDTH,
@@ -155,21 +154,21 @@
                           strcmp (line->job, "-") == 0 ? "" : "* ", line->rest);
 }
 
-/* Missing lines are told as missing: a story with a gap proves nothing about the gap. */
+/* Reports missing lines: a trace proves nothing about its gaps. */
 static void
-tell_gaps (GString *out, const GPtrArray *story, GHashTable *met)
+render_gaps (GString *out, const GPtrArray *trace, GHashTable *involved)
 {
   GHashTableIter iter;
   const char *process;
 
-  g_hash_table_iter_init (&iter, met);
+  g_hash_table_iter_init (&iter, involved);
   while (g_hash_table_iter_next (&iter, (gpointer *)&process, NULL))
     {
       guint own = 0;
 
-      for (guint i = 0; i < story->len; i++)
+      for (guint i = 0; i < trace->len; i++)
         {
-          const EventLine *line = g_ptr_array_index (story, i);
+          const EventLine *line = g_ptr_array_index (trace, i);
 
           if (strcmp (line->process, process) != 0)
             continue;
@@ -184,7 +183,7 @@
     }
 }
 
-/* Whether a later line tells how the run that @placed names went. */
+/* Whether any line reports the end of a run. */
 static gboolean
 is_reported (const GPtrArray *lines, const char *task, const char *run)
 {
@@ -201,7 +200,7 @@
 }
 
 static void
-tell_open_runs (GString *out, const GPtrArray *lines)
+render_open_runs (GString *out, const GPtrArray *lines)
 {
   for (guint i = 0; i < lines->len; i++)
     {
@@ -220,7 +219,7 @@
 }
 
 static void
-tell_end (GString *out, const GPtrArray *lines)
+render_outcome (GString *out, const GPtrArray *lines)
 {
   static const char *const ends[] = { "request-refused", "job-ended", "job-cancelled" };
 
@@ -242,8 +241,8 @@
 explain_render (Explain *explain)
 {
   GString *out = g_string_new (NULL);
-  GHashTable *met;
-  GPtrArray *story;
+  GHashTable *involved;
+  GPtrArray *trace;
   const EventLine *first;
 
   if (explain->lines->len == 0)
@@ -255,15 +254,15 @@
           explain->job);
       return g_string_free (out, FALSE);
     }
-  met = processes_met (explain);
-  story = story_of (explain, met);
+  involved = involved_processes (explain);
+  trace = merge_lines (explain, involved);
   first = g_ptr_array_index (explain->lines, 0);
-  for (guint i = 0; i < story->len; i++)
-    tell_line (out, g_ptr_array_index (story, i), first->time_ms);
-  tell_gaps (out, story, met);
-  tell_open_runs (out, explain->lines);
-  tell_end (out, explain->lines);
-  g_ptr_array_unref (story);
-  g_hash_table_unref (met);
+  for (guint i = 0; i < trace->len; i++)
+    render_line (out, g_ptr_array_index (trace, i), first->time_ms);
+  render_gaps (out, trace, involved);
+  render_open_runs (out, explain->lines);
+  render_outcome (out, explain->lines);
+  g_ptr_array_unref (trace);
+  g_hash_table_unref (involved);
   return g_string_free (out, FALSE);
 }
--- a/src/trace.c
+++ b/src/trace.c
@@ -149,7 +149,7 @@
   return g_string_free (page, FALSE);
 }
 
-/* The end of a task's run at the process that started it, or NULL. */
+/* Return: the event that ends a task's run at the process that started it, or NULL. */
 static const TraceEvent *
 find_end (const Trace *trace, guint from, const TraceEvent *start)
 {
--- a/tests/test-explain.c
+++ b/tests/test-explain.c
@@ -1,4 +1,4 @@
-/* The story of a request, from lines as the processes write them. */
+/* Request traces and zone reports from event lines as the processes write them. */
 #include "cases.h"
 #include "explain.h"
 #include "zone_report.h"
@@ -14,7 +14,7 @@
   const char *name;
   const char *lines;
   const char *parts[6];  /* in this order */
-  const char *absent[2]; /* not in the story */
+  const char *absent[2]; /* not in the trace */
 } Case;
 
 static const Case cases[] = {
@@ -59,20 +59,20 @@
   const Case *c = data;
   Explain *explain = explain_new ("a");
   const char *at;
-  char *story;
+  char *trace;
 
   explain_add (explain, c->lines);
-  story = explain_render (explain);
-  at = story;
+  trace = explain_render (explain);
+  at = trace;
   for (gsize i = 0; i < G_N_ELEMENTS (c->parts) && c->parts[i] != NULL; i++)
     {
       at = strstr (at, c->parts[i]);
       if (at == NULL)
-        g_error ("no \"%s\" in its place in:\n%s", c->parts[i], story);
+        g_error ("no \"%s\" in its place in:\n%s", c->parts[i], trace);
     }
   for (gsize i = 0; i < G_N_ELEMENTS (c->absent) && c->absent[i] != NULL; i++)
-    g_assert_null (strstr (story, c->absent[i]));
-  g_free (story);
+    g_assert_null (strstr (trace, c->absent[i]));
+  g_free (trace);
   explain_free (explain);
 }
 
@@ -101,7 +101,7 @@
     { "no availability zone" } },
 };
 
-/* Blanks of the columns as one. */
+/* Collapses runs of spaces, for comparison without column widths. */
 static char *
 squeeze (const char *text)
 {
