--- a/tests/test-path.c
+++ b/tests/test-path.c
@@ -1,5 +1,4 @@
-/* The whole path as separate processes: submissions in, answers out, bad input refused.
- */
+/* End-to-end tests with separate processes: submissions, answers, invalid input. */
 #include "cases.h"
 #include "jobs.h"
 
@@ -175,24 +174,24 @@
 {
   Harness *harness;
   const char *group;
-  gboolean named; /* whether it is to be there */
+  gboolean named; /* whether the group is expected in the rows */
 } GroupWait;
 
 static gboolean
-groups_are_so (gpointer ctx)
+groups_match (gpointer ctx)
 {
   const GroupWait *wait = ctx;
-  gboolean so = TRUE;
+  gboolean match = TRUE;
 
-  for (guint i = 0; i < wait->harness->entries->len && so; i++)
+  for (guint i = 0; i < wait->harness->entries->len && match; i++)
     {
       Exchange *rows = harness_get (wait->harness, harness_entry (wait->harness, i)->http,
                                     "/v1/rows/backends");
 
-      so = (strstr (rows->body, wait->group) != NULL) == wait->named;
+      match = (strstr (rows->body, wait->group) != NULL) == wait->named;
       exchange_free (rows);
     }
-  return so;
+  return match;
 }
 
 static void
@@ -208,14 +207,12 @@
   g_free (body);
 }
 
-/* Jobs that each entry is given at each of three times. */
-#define REGROUP_JOBS 4
+#define REGROUP_JOBS 4 /* per entry and phase, of three */
 #define REGROUP_TASKS 20
 
-/* Symptom: jobs hang in the queue of a group that no backend server is in any more, or
- *   servers stay where they were until they are restarted.
- * Sequence: the number of groups is raised and lowered again while jobs run and wait.
- * Cause: the group of a server was settled once, when it linked. */
+/* A server's group used to be set only when it linked: when the number of groups was
+ * raised and lowered under load, servers stayed in their old group until restarted, and
+ * jobs hung in the queue of a group without servers. */
 static void
 test_regroup_under_load (void)
 {
@@ -230,11 +227,11 @@
   for (guint i = 0; i < 3; i++)
     jobs_submit (jobs, harness_entry (harness, i), REGROUP_JOBS, REGROUP_TASKS, 50, NULL);
   set_groups (harness, "3");
-  harness_wait (harness, groups_are_so, &up, "backend servers in more groups");
+  harness_wait (harness, groups_match, &up, "backend servers in more groups");
   for (guint i = 0; i < 3; i++)
     jobs_submit (jobs, harness_entry (harness, i), REGROUP_JOBS, REGROUP_TASKS, 50, NULL);
   set_groups (harness, "1");
-  harness_wait (harness, groups_are_so, &down, "backend servers in one group");
+  harness_wait (harness, groups_match, &down, "backend servers in one group");
   for (guint i = 0; i < 3; i++)
     jobs_submit (jobs, harness_entry (harness, i), REGROUP_JOBS, REGROUP_TASKS, 50, NULL);
   jobs_wait (jobs);
@@ -244,7 +241,7 @@
   harness_free (harness);
 }
 
-/* Backend servers split into groups, each with a home of its own. */
+/* Backend servers are split into groups, each with its own home. */
 static void
 test_groups (void)
 {
@@ -274,9 +271,8 @@
   harness_free (harness);
 }
 
-/* Symptom: a job cancelled while some of it runs is said not to have run.
- * Sequence: one slot, three tasks, cancelled while the first runs.
- * Cause: the holder knows only what it granted; its home knows what was handed over. */
+/* A job cancelled while the first of its three tasks ran used to be answered "not run":
+ * the holder knows only what it granted, and its home what was sent to slot owners. */
 static void
 test_cancel_running (void)
 {
