--- a/src/shell.c
+++ b/src/shell.c
@@ -143,9 +143,9 @@
 }
 
 static void
-warn_missing (const char *address, GError **error)
+warn_skipped (const char *address, GError **error)
 {
-  fprintf (stderr, "godwitspar: without %s: %s\n", address, (*error)->message);
+  fprintf (stderr, "godwitspar: skipped %s: %s\n", address, (*error)->message);
   g_clear_error (error);
 }
 
@@ -170,7 +170,7 @@
       if (rows != NULL)
         append_rows (all, rows);
       else
-        warn_missing (address, &local);
+        warn_skipped (address, &local);
       g_clear_pointer (&rows, json_array_unref);
     }
   g_ptr_array_unref (addresses);
@@ -299,7 +299,7 @@
 
   if (!client_call (shell->client, address, EVHTTP_REQ_GET, path, NULL, &answer, &error))
     {
-      warn_missing (address, &error);
+      warn_skipped (address, &error);
       return;
     }
   if (answer.status == 200)
