--- a/tests/test-platform.c
+++ b/tests/test-platform.c
@@ -345,7 +345,7 @@
     add_events (explain, scene->entries[i]);
   for (guint i = 0; i < scene->n_servers; i++)
     add_events (explain, scene->agents[i]);
-  trace = explain_tell (explain);
+  trace = explain_render (explain);
   for (; *parts != NULL; parts++)
     if (strstr (trace, *parts) == NULL)
       g_error ("no \"%s\" in the trace of %s:\n%s", *parts, job, trace);
