--- a/tests/load_links.c
+++ b/tests/load_links.c
@@ -60,7 +60,7 @@
   if (!is_limited (replay))
     return;
   known->late_here_ms = lateness (replay, event);
-  if (!replay->init->deaf)
+  if (!replay->init->ignore_delay)
     dispatcher_server_delay (known->known, event->late_there_ms, replay->now);
 }
 
--- a/tests/load_mixes.c
+++ b/tests/load_mixes.c
@@ -78,7 +78,7 @@
                     .burst = 1,
                     .burst_to_ms = LENGTH_MS,
                     .declared = mix->declared,
-                    .busiest = mix->busiest,
+                    .caller_skew = mix->caller_skew,
                     .seed = seed,
                     .queues = mix->queues };
   double capacity = 0;
--- a/tests/load_mixes.h
+++ b/tests/load_mixes.h
@@ -9,8 +9,8 @@
   guint server_cpu_milli;
   guint large_every;
   LoadDeclared declared;
-  guint servers; /* 0: few */
-  guint busiest; /* times the callers of another that the first entry has; 0: 1 */
+  guint servers;     /* 0: few */
+  guint caller_skew; /* times the callers of another that the first entry has; 0: 1 */
 } LoadMix;
 
 extern const LoadMix load_mixes[];
--- a/tests/load_plan.c
+++ b/tests/load_plan.c
@@ -56,7 +56,7 @@
 static guint
 draw_entry (Plan *plan)
 {
-  guint more = MAX (plan->init->busiest, 1) - 1;
+  guint more = MAX (plan->init->caller_skew, 1) - 1;
   gint32 drawn = g_rand_int_range (plan->random, 0, (gint32)(plan->init->entries + more));
 
   return (guint)MAX (drawn - (gint32)more, 0);
@@ -182,14 +182,14 @@
   double held_ms = (double)(job->ended_ms - job->arrived_ms);
 
   share->jobs++;
-  share->owed += job->benefit;
+  share->total_benefit += job->benefit;
   share->earned += earned;
   share->in_time += earned >= job->benefit;
   share->served += job->ended_ms > 0 && job->end == LEASED_COMPLETED;
   share->refused += job->ended_ms > 0 && job->end == LEASED_REFUSED;
   share->given_up += job->ended_ms > 0 && job->end == LEASED_GIVEN_UP;
   if (!job->started && held_ms > PROMPT_PART * job->objective_ms)
-    share->held_untried += job->benefit;
+    share->late_unstarted += job->benefit;
 }
 
 static int
@@ -214,7 +214,7 @@
     {
       const LoadJob *job = g_ptr_array_index (by_work, i);
 
-      if (job->queue_index != queue_index || job->arrived_ms < init->settle_ms)
+      if (job->queue_index != queue_index || job->arrived_ms < init->warmup_ms)
         continue;
       n++;
       share->largest_owed += job->benefit;
@@ -247,7 +247,7 @@
       const LoadJob *job = g_ptr_array_index (jobs, i);
 
       work += job->run_work;
-      if (job->arrived_ms < init->settle_ms)
+      if (job->arrived_ms < init->warmup_ms)
         continue;
       add_job (&result->all, job);
       add_job (&result->queues[job->queue_index], job);
@@ -255,7 +255,7 @@
         wasted += job->run_work;
     }
   result->used_part = work / capacity_of (init) / init->length_ms;
-  result->wasted_part = wasted / MAX (work, 1);
+  result->wasted_fraction = wasted / MAX (work, 1);
   g_ptr_array_set_free_func (by_work, NULL); /* the jobs are still of the other array */
   g_ptr_array_sort (by_work, compare_work);
   for (guint i = 0; init->queues[i].name != NULL; i++)
--- a/tests/load_plan.h
+++ b/tests/load_plan.h
@@ -32,7 +32,7 @@
   guint servers;
   guint server_cpu_milli;
   guint large_every; /* each so-manieth server is half as large again; 0: none */
-  guint settle_ms;   /* jobs that arrive earlier are played but not accounted */
+  guint warmup_ms;   /* jobs that arrive earlier are played but not accounted */
   guint length_ms;
   guint burst_from_ms;
   guint burst_to_ms;
@@ -40,8 +40,8 @@
   LoadDeclared declared;
   double link_bytes_per_ms; /* of each entry, either way; 0: as wide as it takes */
   guint payload_bytes;      /* of a job */
-  gboolean deaf;            /* entries do not hear how late what they send comes */
-  guint busiest; /* times the callers of another that the first entry has; 0: 1 */
+  gboolean ignore_delay;    /* entries do not hear how late what they send comes */
+  guint caller_skew; /* times the callers of another that the first entry has; 0: 1 */
   guint32 seed;
   const LoadQueue *queues;
 } LoadInit;
@@ -71,11 +71,11 @@
 
 typedef struct
 {
-  double owed;
+  double total_benefit;
   double earned;
   double largest_owed; /* of the largest tenth of the jobs */
   double largest_earned;
-  double held_untried; /* benefit of jobs that were refused late, and never started */
+  double late_unstarted; /* benefit of jobs that were refused late, and never started */
   guint jobs;
   guint in_time;
   guint served; /* at all */
@@ -96,8 +96,8 @@
 {
   LoadShare all;
   LoadShare queues[LOAD_QUEUES_MAX];
-  double used_part;   /* of the servers' processor time */
-  double wasted_part; /* of the work that was run, for jobs that earned nothing */
+  double used_part;       /* of the servers' processor time */
+  double wasted_fraction; /* of the work that was run, for jobs that earned nothing */
   LoadIdle idle;
 } LoadResult;
 
--- a/tests/load_table.c
+++ b/tests/load_table.c
@@ -50,15 +50,16 @@
   double worst = 1;
 
   for (guint i = 0; init->queues[i].name != NULL; i++)
-    worst = MIN (worst, part_of (result->queues[i].earned, result->queues[i].owed));
-  row->earned += part_of (all->earned, all->owed) / option_seeds;
+    worst = MIN (worst,
+                 part_of (result->queues[i].earned, result->queues[i].total_benefit));
+  row->earned += part_of (all->earned, all->total_benefit) / option_seeds;
   row->served += part_of (all->served, all->jobs) / option_seeds;
   row->refused += part_of (all->refused, all->jobs) / option_seeds;
   row->given_up += part_of (all->given_up, all->jobs) / option_seeds;
-  row->held += part_of (all->held_untried, all->owed) / option_seeds;
+  row->held += part_of (all->late_unstarted, all->total_benefit) / option_seeds;
   row->worst += worst / option_seeds;
   row->used += result->used_part / option_seeds;
-  row->wasted += result->wasted_part / option_seeds;
+  row->wasted += result->wasted_fraction / option_seeds;
   row->idle.fresh += result->idle.fresh / option_seeds;
   row->idle.offered += result->idle.offered / option_seeds;
   row->idle.unseen += result->idle.unseen / option_seeds;
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -24,7 +24,7 @@
   const char *name;
   double link_bytes_per_ms;
   double burst;
-  guint busiest;
+  guint caller_skew;
   guint32 seed;
 } FleetCase;
 
@@ -45,13 +45,13 @@
 }
 
 static double
-earned_after_burst (const FleetCase *c, double link_bytes_per_ms, gboolean deaf)
+earned_after_burst (const FleetCase *c, double link_bytes_per_ms, gboolean ignore_delay)
 {
   LoadInit init = { .entries = 6,
                     .servers = 20,
                     .server_cpu_milli = 16000,
                     .large_every = 3,
-                    .settle_ms = BURST_TO_MS + RECOVERY_MS,
+                    .warmup_ms = BURST_TO_MS + RECOVERY_MS,
                     .length_ms = LENGTH_MS,
                     .burst_from_ms = BURST_FROM_MS,
                     .burst_to_ms = BURST_TO_MS,
@@ -59,18 +59,20 @@
                     .declared = LOAD_DECLARED_ROUGH,
                     .link_bytes_per_ms = link_bytes_per_ms,
                     .payload_bytes = 1350,
-                    .deaf = deaf,
-                    .busiest = c->busiest,
+                    .ignore_delay = ignore_delay,
+                    .caller_skew = c->caller_skew,
                     .seed = c->seed,
                     .queues = mix };
   LoadResult result;
 
   load_replay (&init, &result);
   g_test_message ("link %.0f deaf %d: earned %.3f refused %.3f held %.3f wasted %.3f",
-                  link_bytes_per_ms, deaf, ratio (result.all.earned, result.all.owed),
+                  link_bytes_per_ms, ignore_delay,
+                  ratio (result.all.earned, result.all.total_benefit),
                   ratio (result.all.refused, result.all.jobs),
-                  ratio (result.all.held_untried, result.all.owed), result.wasted_part);
-  return ratio (result.all.earned, result.all.owed);
+                  ratio (result.all.late_unstarted, result.all.total_benefit),
+                  result.wasted_fraction);
+  return ratio (result.all.earned, result.all.total_benefit);
 }
 
 static void
--- a/tests/test-load-service.c
+++ b/tests/test-load-service.c
@@ -29,7 +29,7 @@
   LoadInit init = { .entries = entries,
                     .servers = (guint)(127 / part / 16 + 0.5),
                     .server_cpu_milli = 16000,
-                    .settle_ms = SETTLE_MS,
+                    .warmup_ms = SETTLE_MS,
                     .length_ms = SETTLE_MS + 20000,
                     .burst = 1,
                     .seed = seed,
@@ -47,11 +47,11 @@
 static void
 add_share (LoadShare *sum, const LoadShare *share)
 {
-  sum->owed += share->owed;
+  sum->total_benefit += share->total_benefit;
   sum->earned += share->earned;
   sum->largest_owed += share->largest_owed;
   sum->largest_earned += share->largest_earned;
-  sum->held_untried += share->held_untried;
+  sum->late_unstarted += share->late_unstarted;
   sum->jobs += share->jobs;
   sum->in_time += share->in_time;
   sum->served += share->served;
@@ -66,7 +66,7 @@
   for (guint i = 0; i < LOAD_QUEUES_MAX; i++)
     add_share (&sum->queues[i], &result->queues[i]);
   sum->used_part += result->used_part / SEEDS;
-  sum->wasted_part += result->wasted_part / SEEDS;
+  sum->wasted_fraction += result->wasted_fraction / SEEDS;
 }
 
 static void
@@ -75,11 +75,11 @@
   g_test_message (
       "%s: jobs %u earned %.3f largest %.3f in time %.3f served %.3f refused %.3f "
       "given up %.3f held untried %.3f",
-      name, share->jobs, part (share->earned, share->owed),
+      name, share->jobs, part (share->earned, share->total_benefit),
       part (share->largest_earned, share->largest_owed),
       part (share->in_time, share->jobs), part (share->served, share->jobs),
       part (share->refused, share->jobs), part (share->given_up, share->jobs),
-      part (share->held_untried, share->owed));
+      part (share->late_unstarted, share->total_benefit));
 }
 
 /* What must come of a load, at the least and the most. */
@@ -93,7 +93,7 @@
   double served;            /* at all, of the jobs */
   double earned_by_any;     /* queue */
   double earned_by_largest; /* tenth of the urgent jobs */
-  double held_untried;
+  double late_unstarted;
   double wasted;
 } LoadCase;
 
@@ -139,22 +139,22 @@
       load_replay (&init, &one);
       add_result (&result, &one);
     }
-  g_test_message ("used %.3f wasted %.3f", result.used_part, result.wasted_part);
+  g_test_message ("used %.3f wasted %.3f", result.used_part, result.wasted_fraction);
   tell_share ("all", &result.all);
   for (guint i = 0; mix[i].name != NULL; i++)
     {
       tell_share (mix[i].name, &result.queues[i]);
-      g_assert_cmpfloat (part (result.queues[i].earned, result.queues[i].owed), >=,
-                         c->earned_by_any);
+      g_assert_cmpfloat (part (result.queues[i].earned, result.queues[i].total_benefit),
+                         >=, c->earned_by_any);
     }
-  g_assert_cmpfloat (part (result.all.earned, result.all.owed), >=, c->earned);
+  g_assert_cmpfloat (part (result.all.earned, result.all.total_benefit), >=, c->earned);
   g_assert_cmpfloat (part (result.all.served, result.all.jobs), >=, c->served);
   g_assert_cmpfloat (
       part (result.queues[0].largest_earned, result.queues[0].largest_owed), >=,
       c->earned_by_largest);
-  g_assert_cmpfloat (part (result.all.held_untried, result.all.owed), <=,
-                     c->held_untried);
-  g_assert_cmpfloat (result.wasted_part, <=, c->wasted);
+  g_assert_cmpfloat (part (result.all.late_unstarted, result.all.total_benefit), <=,
+                     c->late_unstarted);
+  g_assert_cmpfloat (result.wasted_fraction, <=, c->wasted);
 }
 
 /* What the dispatchers may earn less, and leave unserved more, than one queue that sees
@@ -203,8 +203,9 @@
     }
   tell_share ("ours", &ours.all);
   tell_share ("central", &central.all);
-  g_assert_cmpfloat (part (ours.all.earned, ours.all.owed), >=,
-                     part (central.all.earned, central.all.owed) - c->earned_less);
+  g_assert_cmpfloat (part (ours.all.earned, ours.all.total_benefit), >=,
+                     part (central.all.earned, central.all.total_benefit)
+                         - c->earned_less);
   g_assert_cmpfloat (part (ours.all.served, ours.all.jobs), >=,
                      part (central.all.served, central.all.jobs) - c->served_less);
 }
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -40,10 +40,11 @@
   g_test_message (
       "%s: jobs %u earned %.3f largest %.3f in time %.3f refused %.3f given up "
       "%.3f held untried %.3f",
-      name, share->jobs, part (share->earned, share->owed),
+      name, share->jobs, part (share->earned, share->total_benefit),
       part (share->largest_earned, share->largest_owed),
       part (share->in_time, share->jobs), part (share->refused, share->jobs),
-      part (share->given_up, share->jobs), part (share->held_untried, share->owed));
+      part (share->given_up, share->jobs),
+      part (share->late_unstarted, share->total_benefit));
 }
 
 /* What must come of a load, at the least and the most. */
@@ -56,7 +57,7 @@
   double earned;
   double earned_by_any;     /* queue */
   double earned_by_largest; /* tenth of the urgent jobs */
-  double held_untried;
+  double late_unstarted;
   double wasted;
 } LoadCase;
 
@@ -92,21 +93,21 @@
       init.burst_to_ms = 9000;
     }
   load_replay (&init, &result);
-  g_test_message ("used %.3f wasted %.3f", result.used_part, result.wasted_part);
+  g_test_message ("used %.3f wasted %.3f", result.used_part, result.wasted_fraction);
   tell_share ("all", &result.all);
   for (guint i = 0; mix[i].name != NULL; i++)
     {
       tell_share (mix[i].name, &result.queues[i]);
-      g_assert_cmpfloat (part (result.queues[i].earned, result.queues[i].owed), >=,
-                         c->earned_by_any);
+      g_assert_cmpfloat (part (result.queues[i].earned, result.queues[i].total_benefit),
+                         >=, c->earned_by_any);
     }
-  g_assert_cmpfloat (part (result.all.earned, result.all.owed), >=, c->earned);
+  g_assert_cmpfloat (part (result.all.earned, result.all.total_benefit), >=, c->earned);
   g_assert_cmpfloat (
       part (result.queues[0].largest_earned, result.queues[0].largest_owed), >=,
       c->earned_by_largest);
-  g_assert_cmpfloat (part (result.all.held_untried, result.all.owed), <=,
-                     c->held_untried);
-  g_assert_cmpfloat (result.wasted_part, <=, c->wasted);
+  g_assert_cmpfloat (part (result.all.late_unstarted, result.all.total_benefit), <=,
+                     c->late_unstarted);
+  g_assert_cmpfloat (result.wasted_fraction, <=, c->wasted);
 }
 
 int
