--- a/tests/load_agents.c
+++ b/tests/load_agents.c
@@ -4,42 +4,46 @@
 #define STATE_BYTES 70
 
 static void
-report (Replay *replay, Server *server, Waiter *waiter, const TaskReport *told)
+send_report (Replay *replay,
+             Server *server,
+             Submission *submission,
+             const TaskReport *report)
 {
-  Event *event = event_at (replay, link_to_entry (replay, waiter->entry, REPORT_BYTES),
-                           EVENT_REPORTED, waiter->entry, server);
+  Event *event
+      = event_at (replay, link_to_entry (replay, submission->entry, REPORT_BYTES),
+                  EVENT_REPORT, submission->entry, server);
 
-  event->waiter = waiter;
-  event->report = *told;
+  event->submission = submission;
+  event->report = *report;
 }
 
 static void
-tell_later (Replay *replay, Server *server, Entry *entry, gint64 delay_ms)
+schedule_state (Replay *replay, Server *server, Entry *entry, gint64 delay_ms)
 {
-  if (server->telling[entry->index])
+  if (server->state_scheduled[entry->index])
     return;
-  server->telling[entry->index] = TRUE;
-  event_at (replay, replay->now + delay_ms, EVENT_TELLS, entry, server);
+  server->state_scheduled[entry->index] = TRUE;
+  event_at (replay, replay->now + delay_ms, EVENT_SEND_STATE, entry, server);
 }
 
 /* An offer is told at once, other news at most every STATE_MS. */
 void
-agent_changed (Replay *replay, Server *server)
+agent_state_changed (Replay *replay, Server *server)
 {
   for (guint i = 0; i < replay->init->entries; i++)
     {
-      const Known *known = known_server (replay, &replay->entries[i], server);
-      gint64 wait_ms
-          = server->told_ms[i] + throttle_interval_ms (&known->state_pace) - replay->now;
+      const ServerLink *link = server_link (replay, &replay->entries[i], server);
+      gint64 wait_ms = server->sent_ms[i] + throttle_interval_ms (&link->state_throttle)
+                       - replay->now;
 
       if (offers_is_reserved_for (server->offers, i + 1))
         wait_ms = 0;
-      tell_later (replay, server, &replay->entries[i], MAX (wait_ms, 0));
+      schedule_state (replay, server, &replay->entries[i], MAX (wait_ms, 0));
     }
 }
 
 static void
-tell_offers_room (Replay *replay, Server *server)
+update_free_capacity (Replay *replay, Server *server)
 {
   Demand room = server->capacity;
 
@@ -48,101 +52,102 @@
 }
 
 void
-agent_take_order (Replay *replay, const Event *event)
+agent_on_order (Replay *replay, const Event *event)
 {
   Server *server = event->server;
-  Waiter *waiter = event->waiter;
-  LoadJob *job = waiter->job;
+  Submission *submission = event->submission;
+  LoadJob *job = submission->job;
   Demand need = { job->cpu_milli, 10, 0 };
-  TaskReport told = { .key = event->key, .event = TASK_STARTED, .reason = "" };
+  TaskReport report = { .key = event->key, .event = TASK_STARTED, .reason = "" };
   Event *end;
   Run *run;
 
   if (replay->now > event->valid_until_ms)
     {
-      told.event = TASK_NOT_STARTED;
-      told.reason = "order too old";
-      report (replay, server, waiter, &told);
+      report.event = TASK_NOT_STARTED;
+      report.reason = "order too old";
+      send_report (replay, server, submission, &report);
       return;
     }
   if (!demand_fits (&server->capacity, &server->used, &need))
     {
-      offers_request (server->offers, event->entry->index + 1, &event->wish, replay->now);
-      told.event = TASK_NOT_STARTED;
-      told.reason = "no room";
-      report (replay, server, waiter, &told);
+      offers_request (server->offers, event->entry->index + 1, &event->request,
+                      replay->now);
+      report.event = TASK_NOT_STARTED;
+      report.reason = "no room";
+      send_report (replay, server, submission, &report);
       return;
     }
   run = g_new0 (Run, 1);
-  run->waiter = waiter;
+  run->submission = submission;
   run->key = event->key;
   run->started_ms = replay->now;
   job->started = TRUE;
   demand_add (&server->used, &need);
   demand_add (&server->used_by[event->entry->index], &need);
   g_ptr_array_add (server->runs, run);
-  tell_offers_room (replay, server);
+  update_free_capacity (replay, server);
   if (event->last)
-    offers_used (server->offers, event->entry->index + 1, &event->wish, replay->now);
-  end = event_at (replay, replay->now + job->run_ms[event->key.index], EVENT_ENDS,
+    offers_used (server->offers, event->entry->index + 1, &event->request, replay->now);
+  end = event_at (replay, replay->now + job->run_ms[event->key.index], EVENT_RUN_END,
                   event->entry, server);
   end->run = run;
-  report (replay, server, waiter, &told);
-  agent_changed (replay, server);
+  send_report (replay, server, submission, &report);
+  agent_state_changed (replay, server);
 }
 
 void
-agent_run_over (Replay *replay, Server *server, Run *run, TaskEvent how)
+agent_end_run (Replay *replay, Server *server, Run *run, TaskEvent how)
 {
-  Waiter *waiter = run->waiter;
-  LoadJob *job = waiter->job;
+  Submission *submission = run->submission;
+  LoadJob *job = submission->job;
   Demand need = { job->cpu_milli, 10, 0 };
-  TaskReport told = { .key = run->key, .event = how, .reason = "" };
+  TaskReport report = { .key = run->key, .event = how, .reason = "" };
 
-  run->over = TRUE;
-  told.run_ms = (guint)(replay->now - run->started_ms);
-  job->run_work += (double)told.run_ms * job->cpu_milli;
+  run->ended = TRUE;
+  report.run_ms = (guint)(replay->now - run->started_ms);
+  job->run_work += (double)report.run_ms * job->cpu_milli;
   demand_subtract (&server->used, &need);
-  demand_subtract (&server->used_by[waiter->entry->index], &need);
+  demand_subtract (&server->used_by[submission->entry->index], &need);
   server->freed_ms = replay->now;
-  tell_offers_room (replay, server);
+  update_free_capacity (replay, server);
   offers_capacity_freed (server->offers, replay->now);
-  report (replay, server, waiter, &told);
-  agent_changed (replay, server);
+  send_report (replay, server, submission, &report);
+  agent_state_changed (replay, server);
 }
 
 void
-agent_take_stop (Replay *replay, const Event *event)
+agent_on_stop (Replay *replay, const Event *event)
 {
   for (guint i = 0; i < event->server->runs->len; i++)
     {
       Run *run = g_ptr_array_index (event->server->runs, i);
 
-      if (!run->over && run_key_equal (&run->key, &event->key))
-        agent_run_over (replay, event->server, run, TASK_LOST);
+      if (!run->ended && run_key_equal (&run->key, &event->key))
+        agent_end_run (replay, event->server, run, TASK_LOST);
     }
 }
 
 void
-agent_tell_state (Replay *replay, const Event *event)
+agent_send_state (Replay *replay, const Event *event)
 {
   Server *server = event->server;
   guint i = event->entry->index;
   Demand visible;
   Demand used;
-  Event *told;
+  Event *state;
 
-  server->telling[i] = FALSE;
-  server->told_ms[i] = replay->now;
+  server->state_scheduled[i] = FALSE;
+  server->sent_ms[i] = replay->now;
   offers_tick (server->offers, replay->now);
   visible = offers_available_to (server->offers, i + 1);
   used = server->capacity;
   demand_subtract (&used, &visible);
   demand_subtract (&used, &server->used_by[i]);
-  told = event_at (replay, link_to_entry (replay, event->entry, STATE_BYTES), EVENT_TOLD,
-                   event->entry, server);
-  told->used_by_others = used;
-  told->offered = offers_is_reserved_for (server->offers, i + 1);
+  state = event_at (replay, link_to_entry (replay, event->entry, STATE_BYTES),
+                    EVENT_STATE, event->entry, server);
+  state->used_by_others = used;
+  state->offered = offers_is_reserved_for (server->offers, i + 1);
   if (offers_open (server->offers))
-    tell_later (replay, server, event->entry, OFFER_MS);
+    schedule_state (replay, server, event->entry, OFFER_MS);
 }
--- a/tests/load_central.c
+++ b/tests/load_central.c
@@ -4,8 +4,8 @@
 
 /* What a late answer is worth, and what a job has of its benefit whatever its size: as
  * the dispatcher takes them. */
-#define LATE_PART 0.2
-#define FLAT_PART 0.15
+#define LATE_FRACTION 0.2
+#define FLAT_FRACTION 0.15
 
 typedef struct
 {
@@ -46,12 +46,12 @@
 {
   const LoadJob *job = queued->job;
   const LoadQueue *queue = job->queue;
-  double usual = (double)queue->tasks * queue->run_ms * queue->cpu_milli;
-  double benefit
-      = (FLAT_PART * usual + (1 - FLAT_PART) * job->work) / (1 << queue->priority);
+  double typical_work = (double)queue->tasks * queue->run_ms * queue->cpu_milli;
+  double benefit = (FLAT_FRACTION * typical_work + (1 - FLAT_FRACTION) * job->work)
+                   / (1 << queue->priority);
   double work = job->work * queued->waiting / job->tasks;
 
-  return work / benefit / (can_end_by (central, queued, 1) ? 1 : LATE_PART);
+  return work / benefit / (can_end_by (central, queued, 1) ? 1 : LATE_FRACTION);
 }
 
 static int
@@ -98,14 +98,14 @@
 }
 
 static void
-end (Queued *queued, LeasedEnd how, gint64 now)
+finish_job (Queued *queued, LeasedEnd how, gint64 now)
 {
   queued->job->end = how;
   queued->job->ended_ms = MAX (now, 1);
 }
 
 static void
-take_ends (Central *central)
+finish_tasks (Central *central)
 {
   for (guint i = central->placed->len; i > 0; i--)
     {
@@ -121,7 +121,7 @@
       if (queued->waiting == 0 && queued->placed == 0)
         {
           job->run_work = job->work;
-          end (queued, LEASED_COMPLETED, central->now);
+          finish_job (queued, LEASED_COMPLETED, central->now);
         }
     }
 }
@@ -137,7 +137,7 @@
       if (queued->waiting > 0 && can_end_by (central, queued, LOAD_LATE_FACTOR))
         continue;
       if (!queued->job->started)
-        end (queued, LEASED_REFUSED, central->now);
+        finish_job (queued, LEASED_REFUSED, central->now);
       if (queued->waiting == 0 || !queued->job->started)
         g_ptr_array_remove_index_fast (central->queue, i - 1);
     }
@@ -164,7 +164,7 @@
   Central central = { .init = init };
   GPtrArray *jobs = load_plan (init);
   GPtrArray *all = g_ptr_array_new_with_free_func (g_free);
-  gint64 over = init->length_ms + LOAD_DEADLINE_MS;
+  gint64 end_ms = init->length_ms + LOAD_DEADLINE_MS;
   guint next = 0;
 
   memset (result, 0, sizeof *result);
@@ -173,9 +173,9 @@
   central.free = g_new (guint, init->servers);
   for (guint i = 0; i < init->servers; i++)
     central.free[i] = load_server_cpu_milli (init, i);
-  for (; central.now < over; central.now++)
+  for (; central.now < end_ms; central.now++)
     {
-      take_ends (&central);
+      finish_tasks (&central);
       for (; next < jobs->len; next++)
         {
           LoadJob *job = g_ptr_array_index (jobs, next);
--- a/tests/load_links.c
+++ b/tests/load_links.c
@@ -13,81 +13,82 @@
 
 /* Return: when the last byte arrives. */
 static gint64
-carry (const Replay *replay, double *free_at, guint bytes)
+transmit (const Replay *replay, double *free_at, guint bytes)
 {
   double begins = MAX (*free_at, (double)replay->now);
 
   *free_at = begins + (HEADER_BYTES + bytes) / replay->init->link_bytes_per_ms;
-  return (gint64)(*free_at + WAY_MS);
+  return (gint64)(*free_at + ONE_WAY_MS);
 }
 
 gint64
 link_to_agent (Replay *replay, Entry *entry, guint bytes)
 {
-  return is_limited (replay) ? carry (replay, &entry->uplink_free_at, bytes)
-                             : replay->now + WAY_MS;
+  return is_limited (replay) ? transmit (replay, &entry->uplink_free_at, bytes)
+                             : replay->now + ONE_WAY_MS;
 }
 
 gint64
 link_to_entry (Replay *replay, Entry *entry, guint bytes)
 {
-  return is_limited (replay) ? carry (replay, &entry->downlink_free_at, bytes)
-                             : replay->now + WAY_MS;
+  return is_limited (replay) ? transmit (replay, &entry->downlink_free_at, bytes)
+                             : replay->now + ONE_WAY_MS;
 }
 
 static guint
-lateness (const Replay *replay, const Event *event)
+frame_delay_ms (const Replay *replay, const Event *event)
 {
-  return (guint)MAX (replay->now - event->sent_at - WAY_MS, 0);
+  return (guint)MAX (replay->now - event->sent_at - ONE_WAY_MS, 0);
 }
 
 void
-link_heard_by_agent (Replay *replay, const Event *event)
+link_received_by_agent (Replay *replay, const Event *event)
 {
-  Known *known = known_server (replay, event->entry, event->server);
+  ServerLink *link = server_link (replay, event->entry, event->server);
 
   if (!is_limited (replay))
     return;
-  known->late_there_ms = lateness (replay, event);
-  throttle_on_delay (&known->state_pace, known->late_here_ms, replay->now);
+  link->send_delay_ms = frame_delay_ms (replay, event);
+  throttle_on_delay (&link->state_throttle, link->receive_delay_ms, replay->now);
 }
 
 void
-link_heard_by_entry (Replay *replay, const Event *event)
+link_received_by_entry (Replay *replay, const Event *event)
 {
-  Known *known = known_server (replay, event->entry, event->server);
+  ServerLink *link = server_link (replay, event->entry, event->server);
 
   if (!is_limited (replay))
     return;
-  known->late_here_ms = lateness (replay, event);
+  link->receive_delay_ms = frame_delay_ms (replay, event);
   if (!replay->init->ignore_delay)
-    dispatcher_server_delay (known->known, event->late_there_ms, replay->now);
+    dispatcher_server_delay (link->leased, event->send_delay_ms, replay->now);
 }
 
 /* The entry's heartbeat; the agent's follows when it is heard. */
 void
-link_beat (Replay *replay, const Event *event)
+link_send_heartbeat (Replay *replay, const Event *event)
 {
-  event_at (replay, link_to_agent (replay, event->entry, 0), EVENT_BEAT_HEARD,
+  event_at (replay, link_to_agent (replay, event->entry, 0), EVENT_HEARTBEAT,
             event->entry, event->server);
-  event_at (replay, replay->now + HEARTBEAT_MS, EVENT_BEAT, event->entry, event->server);
+  event_at (replay, replay->now + HEARTBEAT_MS, EVENT_SEND_HEARTBEAT, event->entry,
+            event->server);
 }
 
 void
-link_beat_heard (Replay *replay, const Event *event)
+link_reply_heartbeat (Replay *replay, const Event *event)
 {
-  event_at (replay, link_to_entry (replay, event->entry, 0), EVENT_BEAT_ANSWERED,
+  event_at (replay, link_to_entry (replay, event->entry, 0), EVENT_HEARTBEAT_REPLY,
             event->entry, event->server);
 }
 
 void
 link_open (Replay *replay, Entry *entry, Server *server)
 {
-  Known *known = known_server (replay, entry, server);
+  ServerLink *link = server_link (replay, entry, server);
 
-  known->state_pace = throttle_new (STATE_MS);
+  link->state_throttle = throttle_new (STATE_MS);
   if (is_limited (replay))
     event_at (replay,
               replay->now + (entry->index * 7 + server->index * 11) % HEARTBEAT_MS,
-              EVENT_BEAT, entry, server);
+              EVENT_SEND_HEARTBEAT, entry, server);
 }
--- a/tests/load_mixes.c
+++ b/tests/load_mixes.c
@@ -68,7 +68,7 @@
 }
 
 LoadInit
-load_of_mix (const LoadMix *mix, double part, guint entries, guint32 seed)
+load_init_from_mix (const LoadMix *mix, double load, guint entries, guint32 seed)
 {
   LoadInit init = { .entries = entries,
                     .servers = mix->servers > 0 ? mix->servers : SERVERS,
@@ -85,6 +85,6 @@
 
   for (guint i = 0; i < init.servers; i++)
     capacity += load_server_cpu_milli (&init, i);
-  init.burst = part * capacity / work_per_ms (mix);
+  init.burst = load * capacity / work_per_ms (mix);
   return init;
 }
--- a/tests/load_mixes.h
+++ b/tests/load_mixes.h
@@ -16,5 +16,6 @@
 extern const LoadMix load_mixes[];
 extern const guint load_n_mixes;
 
-/** load_of_mix - a load that takes @part of the servers' capacity. */
-LoadInit load_of_mix (const LoadMix *mix, double part, guint entries, guint32 seed);
+/** load_init_from_mix - a load that takes @part of the servers' capacity. */
+LoadInit
+load_init_from_mix (const LoadMix *mix, double load, guint entries, guint32 seed);
--- a/tests/load_plan.c
+++ b/tests/load_plan.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-#define LATE_PART 0.2
+#define LATE_FRACTION 0.2
 /* Spread of run times and widths between jobs, of tasks within a job, and of what is
  * declared, as parts of the mean. */
 #define SPREAD 0.4
@@ -11,9 +11,9 @@
 #define CPU_SPREAD 0.2
 /* Part of a job's benefit that does not grow with its size, and the most it grows to. */
 #define FLAT_BENEFIT 0.3
-#define MOST_BENEFIT 4.0
+#define MAX_BENEFIT 4.0
 /* Kept waiting longer than this part of its objective, a refusal is late. */
-#define PROMPT_PART 0.25
+#define PROMPT_FRACTION 0.25
 #define LARGE_FACTOR 1.5
 
 typedef struct
@@ -25,7 +25,7 @@
 
 /* About normal, never below a tenth of the mean. */
 static double
-varied (Plan *plan, double mean, double spread)
+draw_normal (Plan *plan, double mean, double spread)
 {
   double sum = 0;
   double value;
@@ -37,9 +37,9 @@
 }
 
 static guint
-varied_count (Plan *plan, double mean, double spread, guint most)
+draw_count (Plan *plan, double mean, double spread, guint most)
 {
-  double value = varied (plan, mean, spread) + 0.5;
+  double value = draw_normal (plan, mean, spread) + 0.5;
 
   return (guint)CLAMP (value, 1, most);
 }
@@ -68,25 +68,25 @@
   const LoadQueue *queue = &plan->init->queues[queue_index];
   LoadJob *job = g_new0 (LoadJob, 1);
   double mean_work = (double)queue->tasks * queue->run_ms * queue->cpu_milli;
-  double run_ms = varied (plan, queue->run_ms, SPREAD);
+  double run_ms = draw_normal (plan, queue->run_ms, SPREAD);
   guint longest = 0;
 
   g_snprintf (job->id, sizeof job->id, "%016x", plan->jobs->len + 1);
   job->entry = draw_entry (plan);
   job->queue = queue;
   job->queue_index = queue_index;
-  job->tasks = varied_count (plan, queue->tasks, SPREAD, queue->most_tasks);
-  job->cpu_milli = (guint)varied (plan, queue->cpu_milli, CPU_SPREAD);
+  job->tasks = draw_count (plan, queue->tasks, SPREAD, queue->max_tasks);
+  job->cpu_milli = (guint)draw_normal (plan, queue->cpu_milli, CPU_SPREAD);
   job->run_ms = g_new (guint, job->tasks);
   for (guint i = 0; i < job->tasks; i++)
     {
-      job->run_ms[i] = varied_count (plan, run_ms, TASK_SPREAD, G_MAXINT);
+      job->run_ms[i] = draw_count (plan, run_ms, TASK_SPREAD, G_MAXINT);
       job->work += (double)job->run_ms[i] * job->cpu_milli;
       longest = MAX (longest, job->run_ms[i]);
     }
   job->benefit
       = queue->benefit
-        * MIN (FLAT_BENEFIT + (1 - FLAT_BENEFIT) * job->work / mean_work, MOST_BENEFIT);
+        * MIN (FLAT_BENEFIT + (1 - FLAT_BENEFIT) * job->work / mean_work, MAX_BENEFIT);
   job->arrived_ms = at;
   job->objective_ms = LOAD_STRETCH * longest + LOAD_TARGET_MS;
   job->declared_ms = (guint)run_ms;
@@ -128,7 +128,7 @@
   switch (plan->init->declared)
     {
     case LOAD_DECLARED_UNRELATED:
-      job->declared_ms = (guint)varied (plan, job->queue->run_ms, SPREAD);
+      job->declared_ms = (guint)draw_normal (plan, job->queue->run_ms, SPREAD);
       break;
     case LOAD_DECLARED_ROUGH:
       job->declared_ms = (guint)(job->declared_ms * (0.5 + g_rand_double (plan->random)));
@@ -164,7 +164,7 @@
 }
 
 static double
-earned_by (const LoadJob *job)
+benefit_earned (const LoadJob *job)
 {
   double took_ms = (double)(job->ended_ms - job->arrived_ms);
 
@@ -172,24 +172,25 @@
     return 0;
   if (took_ms <= job->objective_ms)
     return job->benefit;
-  return took_ms <= LOAD_LATE_FACTOR * job->objective_ms ? LATE_PART * job->benefit : 0;
+  return took_ms <= LOAD_LATE_FACTOR * job->objective_ms ? LATE_FRACTION * job->benefit
+                                                         : 0;
 }
 
 static void
-add_job (LoadShare *share, const LoadJob *job)
+add_job (LoadTotals *totals, const LoadJob *job)
 {
-  double earned = earned_by (job);
+  double earned = benefit_earned (job);
   double held_ms = (double)(job->ended_ms - job->arrived_ms);
 
-  share->jobs++;
-  share->total_benefit += job->benefit;
-  share->earned += earned;
-  share->in_time += earned >= job->benefit;
-  share->served += job->ended_ms > 0 && job->end == LEASED_COMPLETED;
-  share->refused += job->ended_ms > 0 && job->end == LEASED_REFUSED;
-  share->given_up += job->ended_ms > 0 && job->end == LEASED_GIVEN_UP;
-  if (!job->started && held_ms > PROMPT_PART * job->objective_ms)
-    share->late_unstarted += job->benefit;
+  totals->jobs++;
+  totals->total_benefit += job->benefit;
+  totals->earned += earned;
+  totals->on_time += earned >= job->benefit;
+  totals->served += job->ended_ms > 0 && job->end == LEASED_COMPLETED;
+  totals->refused += job->ended_ms > 0 && job->end == LEASED_REFUSED;
+  totals->given_up += job->ended_ms > 0 && job->end == LEASED_GIVEN_UP;
+  if (!job->started && held_ms > PROMPT_FRACTION * job->objective_ms)
+    totals->late_unstarted += job->benefit;
 }
 
 static int
@@ -207,18 +208,18 @@
              LoadResult *result,
              guint queue_index)
 {
-  LoadShare *share = &result->queues[queue_index];
+  LoadTotals *totals = &result->queues[queue_index];
   guint n = 0;
 
-  for (guint i = 0; i < by_work->len && n < share->jobs / 10; i++)
+  for (guint i = 0; i < by_work->len && n < totals->jobs / 10; i++)
     {
       const LoadJob *job = g_ptr_array_index (by_work, i);
 
       if (job->queue_index != queue_index || job->arrived_ms < init->warmup_ms)
         continue;
       n++;
-      share->largest_owed += job->benefit;
-      share->largest_earned += earned_by (job);
+      totals->largest_benefit += job->benefit;
+      totals->largest_earned += benefit_earned (job);
     }
 }
 
@@ -251,10 +252,10 @@
         continue;
       add_job (&result->all, job);
       add_job (&result->queues[job->queue_index], job);
-      if (earned_by (job) == 0)
+      if (benefit_earned (job) == 0)
         wasted += job->run_work;
     }
-  result->used_part = work / capacity_of (init) / init->length_ms;
+  result->utilization = work / capacity_of (init) / init->length_ms;
   result->wasted_fraction = wasted / MAX (work, 1);
   g_ptr_array_set_free_func (by_work, NULL); /* the jobs are still of the other array */
   g_ptr_array_sort (by_work, compare_work);
--- a/tests/load_plan.h
+++ b/tests/load_plan.h
@@ -11,7 +11,7 @@
   const char *name; /* NULL ends a list */
   guint priority;
   guint tasks;
-  guint most_tasks;
+  guint max_tasks;
   guint run_ms;
   guint cpu_milli;
   double per_s;   /* jobs, all entries together */
@@ -73,15 +73,15 @@
 {
   double total_benefit;
   double earned;
-  double largest_owed; /* of the largest tenth of the jobs */
+  double largest_benefit; /* of the largest tenth of the jobs */
   double largest_earned;
   double late_unstarted; /* benefit of jobs that were refused late, and never started */
   guint jobs;
-  guint in_time;
+  guint on_time;
   guint served; /* at all */
   guint refused;
   guint given_up;
-} LoadShare;
+} LoadTotals;
 
 /* Room that stood free while a task that fits it waited somewhere, as parts of the
  * servers' processor time: why nothing ran there. */
@@ -94,9 +94,9 @@
 
 typedef struct
 {
-  LoadShare all;
-  LoadShare queues[LOAD_QUEUES_MAX];
-  double used_part;       /* of the servers' processor time */
+  LoadTotals all;
+  LoadTotals queues[LOAD_QUEUES_MAX];
+  double utilization;     /* of the servers' processor time */
   double wasted_fraction; /* of the work that was run, for jobs that earned nothing */
   LoadIdle idle;
 } LoadResult;
--- a/tests/load_replay.c
+++ b/tests/load_replay.c
@@ -1,6 +1,6 @@
 #include "load_replay_parts.h"
 
-#define WISH_BYTES 50
+#define REQUEST_BYTES 50
 
 static int
 compare_events (gconstpointer a, gconstpointer b, gpointer ctx)
@@ -10,13 +10,13 @@
 
   if (left->at != right->at)
     return left->at < right->at ? -1 : 1;
-  return left->number < right->number ? -1 : 1;
+  return left->seq < right->seq ? -1 : 1;
 }
 
-Known *
-known_server (Replay *replay, const Entry *entry, const Server *server)
+ServerLink *
+server_link (Replay *replay, const Entry *entry, const Server *server)
 {
-  return &replay->known[entry->index * replay->init->servers + server->index];
+  return &replay->links[entry->index * replay->init->servers + server->index];
 }
 
 Event *
@@ -26,12 +26,12 @@
 
   event->at = at;
   event->sent_at = replay->now;
-  event->number = replay->numbers++;
+  event->seq = replay->next_seq++;
   event->kind = kind;
   event->entry = entry;
   event->server = server;
   if (entry != NULL && server != NULL)
-    event->late_there_ms = known_server (replay, entry, server)->late_there_ms;
+    event->send_delay_ms = server_link (replay, entry, server)->send_delay_ms;
   g_sequence_insert_sorted (replay->events, event, compare_events, NULL);
   return event;
 }
@@ -44,38 +44,38 @@
           const RunKey *runs,
           gsize n_runs,
           guint expected_ms,
-          const ResourceRequest *wish,
+          const ResourceRequest *request,
           gint64 valid_until_ms,
           gpointer ctx)
 {
   Entry *entry = ctx;
   Replay *replay = entry->replay;
-  Known *known = leased_server_user_data (server);
+  ServerLink *link = leased_server_user_data (server);
   gint64 arrives = link_to_agent (replay, entry, replay->init->payload_bytes);
 
   for (gsize i = 0; i < n_runs; i++)
     {
-      Event *event = event_at (replay, arrives, EVENT_ORDERED, entry, known->server);
+      Event *event = event_at (replay, arrives, EVENT_ORDER, entry, link->server);
 
       event->valid_until_ms = valid_until_ms;
-      event->waiter = g_hash_table_lookup (replay->by_id, spec->id);
-      event->waiter->waiting--;
+      event->submission = g_hash_table_lookup (replay->by_id, spec->id);
+      event->submission->waiting--;
       event->key = runs[i];
-      event->wish = *wish;
+      event->request = *request;
       event->last = i == n_runs - 1;
     }
 }
 
 static void
-on_want (LeasedServer *server, const ResourceRequest *wish, gpointer ctx)
+on_request_resources (LeasedServer *server, const ResourceRequest *request, gpointer ctx)
 {
   Entry *entry = ctx;
   Replay *replay = entry->replay;
-  Known *known = leased_server_user_data (server);
-  Event *event = event_at (replay, link_to_agent (replay, entry, WISH_BYTES),
-                           EVENT_WANTED, entry, known->server);
+  ServerLink *link = leased_server_user_data (server);
+  Event *event = event_at (replay, link_to_agent (replay, entry, REQUEST_BYTES),
+                           EVENT_RESOURCE_REQUEST, entry, link->server);
 
-  event->wish = *wish;
+  event->request = *request;
 }
 
 static void
@@ -83,9 +83,9 @@
 {
   Entry *entry = ctx;
   Replay *replay = entry->replay;
-  Known *known = leased_server_user_data (server);
-  Event *event = event_at (replay, link_to_agent (replay, entry, 0), EVENT_STOPPED, entry,
-                           known->server);
+  ServerLink *link = leased_server_user_data (server);
+  Event *event = event_at (replay, link_to_agent (replay, entry, 0), EVENT_STOP, entry,
+                           link->server);
 
   event->key = *run;
 }
@@ -95,19 +95,19 @@
 {
   Entry *entry = ctx;
 
-  entry->pump_wanted = TRUE;
+  entry->pump_needed = TRUE;
 }
 
-static const DispatcherOps ops = { on_order, on_want, on_stop, on_pump };
+static const DispatcherOps ops = { on_order, on_request_resources, on_stop, on_pump };
 
 static void
 on_done (const LeasedResult *result, gpointer ctx)
 {
-  Waiter *waiter = ctx;
-  LoadJob *job = waiter->job;
+  Submission *submission = ctx;
+  LoadJob *job = submission->job;
 
-  waiter->waiting = 0;
-  job->ended_ms = waiter->replay->now - waiter->replay->began;
+  submission->waiting = 0;
+  job->ended_ms = submission->replay->now - submission->replay->start_ms;
   job->end = result->end;
   job->retry_after_ms = result->retry_after_ms;
 }
@@ -115,11 +115,11 @@
 /* Entries. */
 
 static void
-hear_state (Replay *replay,
-            Entry *entry,
-            Server *server,
-            const Demand *used_by_others,
-            gboolean offered)
+on_state (Replay *replay,
+          Entry *entry,
+          Server *server,
+          const Demand *used_by_others,
+          gboolean offered)
 {
   ServerStatus status = { .instance = g_strdup ("life"),
                           .service = g_strdup ("exchange"),
@@ -132,13 +132,13 @@
                           .trust = TRUST_FULL,
                           .slowness_percent = 100 };
 
-  dispatcher_server_status (known_server (replay, entry, server)->known, &status);
+  dispatcher_server_status (server_link (replay, entry, server)->leased, &status);
 }
 
 static void
 arrive (Replay *replay, Event *event)
 {
-  LoadJob *job = event->waiter->job;
+  LoadJob *job = event->submission->job;
   const LoadQueue *queue = job->queue;
   LeasedSpec spec = { .id = job->id,
                       .queue = queue->name,
@@ -156,69 +156,69 @@
                       .declared_ms = job->declared_ms,
                       .deadline_ms = replay->now + LOAD_DEADLINE_MS };
 
-  event->waiter->waiting = job->tasks;
-  dispatcher_submit (event->entry->dispatcher, &spec, on_done, event->waiter,
+  event->submission->waiting = job->tasks;
+  dispatcher_submit (event->entry->dispatcher, &spec, on_done, event->submission,
                      replay->now);
 }
 
 static void
-note_report (const Event *event)
+count_retry (const Event *event)
 {
   gboolean again
       = event->report.event == TASK_NOT_STARTED || event->report.event == TASK_LOST;
 
-  if (again && event->waiter->job->ended_ms == 0)
-    event->waiter->waiting++;
+  if (again && event->submission->job->ended_ms == 0)
+    event->submission->waiting++;
 }
 
 static void
-carry_out (Replay *replay, Event *event)
+handle_event (Replay *replay, Event *event)
 {
   switch (event->kind)
     {
-    case EVENT_ARRIVES:
+    case EVENT_ARRIVAL:
       arrive (replay, event);
       break;
-    case EVENT_ORDERED:
-      link_heard_by_agent (replay, event);
-      agent_take_order (replay, event);
+    case EVENT_ORDER:
+      link_received_by_agent (replay, event);
+      agent_on_order (replay, event);
       break;
-    case EVENT_STOPPED:
-      agent_take_stop (replay, event);
+    case EVENT_STOP:
+      agent_on_stop (replay, event);
       break;
-    case EVENT_WANTED:
-      link_heard_by_agent (replay, event);
-      offers_request (event->server->offers, event->entry->index + 1, &event->wish,
+    case EVENT_RESOURCE_REQUEST:
+      link_received_by_agent (replay, event);
+      offers_request (event->server->offers, event->entry->index + 1, &event->request,
                       replay->now);
-      agent_changed (replay, event->server);
+      agent_state_changed (replay, event->server);
       break;
-    case EVENT_ENDS:
-      if (!event->run->over)
-        agent_run_over (replay, event->server, event->run, TASK_DONE);
+    case EVENT_RUN_END:
+      if (!event->run->ended)
+        agent_end_run (replay, event->server, event->run, TASK_DONE);
       break;
-    case EVENT_REPORTED:
-      link_heard_by_entry (replay, event);
-      note_report (event);
-      dispatcher_reports (known_server (replay, event->entry, event->server)->known,
+    case EVENT_REPORT:
+      link_received_by_entry (replay, event);
+      count_retry (event);
+      dispatcher_reports (server_link (replay, event->entry, event->server)->leased,
                           &event->report, 1, FALSE, replay->now);
       break;
-    case EVENT_TELLS:
-      agent_tell_state (replay, event);
+    case EVENT_SEND_STATE:
+      agent_send_state (replay, event);
       break;
-    case EVENT_BEAT:
-      link_beat (replay, event);
+    case EVENT_SEND_HEARTBEAT:
+      link_send_heartbeat (replay, event);
       break;
-    case EVENT_BEAT_HEARD:
-      link_heard_by_agent (replay, event);
-      link_beat_heard (replay, event);
+    case EVENT_HEARTBEAT:
+      link_received_by_agent (replay, event);
+      link_reply_heartbeat (replay, event);
       break;
-    case EVENT_BEAT_ANSWERED:
-      link_heard_by_entry (replay, event);
+    case EVENT_HEARTBEAT_REPLY:
+      link_received_by_entry (replay, event);
       break;
-    case EVENT_TOLD:
-      link_heard_by_entry (replay, event);
-      hear_state (replay, event->entry, event->server, &event->used_by_others,
-                  event->offered);
+    case EVENT_STATE:
+      link_received_by_entry (replay, event);
+      on_state (replay, event->entry, event->server, &event->used_by_others,
+                event->offered);
       break;
     }
 }
@@ -236,19 +236,19 @@
 
   for (guint i = 0; i < replay->jobs->len; i++)
     {
-      const Waiter *waiter = &replay->waiters[i];
+      const Submission *submission = &replay->submissions[i];
 
-      if (waiter->waiting == 0)
+      if (submission->waiting == 0)
         continue;
-      demand.least = MIN (demand.least, waiter->job->cpu_milli);
-      demand.all += (double)waiter->waiting * waiter->job->cpu_milli;
+      demand.least = MIN (demand.least, submission->job->cpu_milli);
+      demand.all += (double)submission->waiting * submission->job->cpu_milli;
     }
   return demand;
 }
 
 /* Room that stands free while a task that fits it waits somewhere. */
 static void
-note_idle (Replay *replay)
+account_idle (Replay *replay)
 {
   WaitingDemand demand = waiting_demand (replay);
 
@@ -261,7 +261,7 @@
       if (free < demand.least)
         continue;
       demand.all -= idle;
-      if (replay->now - server->freed_ms <= 2 * (gint64)WAY_MS)
+      if (replay->now - server->freed_ms <= 2 * (gint64)ONE_WAY_MS)
         replay->idle.fresh += idle;
       else if (offers_open (server->offers))
         replay->idle.offered += idle;
@@ -281,7 +281,7 @@
 
       if (event->at > replay->now)
         break;
-      carry_out (replay, event);
+      handle_event (replay, event);
       g_sequence_remove (first);
     }
   for (guint i = 0; i < replay->init->entries; i++)
@@ -290,11 +290,11 @@
 
       if (replay->now % DISPATCHER_TICK_MS == 0)
         dispatcher_tick (entry->dispatcher, replay->now);
-      if (entry->pump_wanted)
+      if (entry->pump_needed)
         dispatcher_pump (entry->dispatcher, replay->now);
-      entry->pump_wanted = FALSE;
+      entry->pump_needed = FALSE;
     }
-  note_idle (replay);
+  account_idle (replay);
 }
 
 static void
@@ -310,13 +310,13 @@
   for (guint j = 0; j < replay->init->servers; j++)
     {
       Server *server = &replay->servers[j];
-      Known *known = known_server (replay, entry, server);
+      ServerLink *link = server_link (replay, entry, server);
 
-      known->server = server;
-      known->known = dispatcher_server_up (entry->dispatcher, 100 + j, "agent", known);
-      dispatcher_server_clock (known->known, replay->now, replay->now);
-      dispatcher_reports (known->known, NULL, 0, TRUE, replay->now);
-      hear_state (replay, entry, server, &nothing, FALSE);
+      link->server = server;
+      link->leased = dispatcher_server_up (entry->dispatcher, 100 + j, "agent", link);
+      dispatcher_server_clock (link->leased, replay->now, replay->now);
+      dispatcher_reports (link->leased, NULL, 0, TRUE, replay->now);
+      on_state (replay, entry, server, &nothing, FALSE);
       link_open (replay, entry, server);
     }
 }
@@ -332,8 +332,8 @@
   server->runs = g_ptr_array_new_with_free_func (g_free);
   server->offers = offers_new ();
   server->used_by = g_new0 (Demand, replay->init->entries);
-  server->told_ms = g_new0 (gint64, replay->init->entries);
-  server->telling = g_new0 (gboolean, replay->init->entries);
+  server->sent_ms = g_new0 (gint64, replay->init->entries);
+  server->state_scheduled = g_new0 (gboolean, replay->init->entries);
 }
 
 static void
@@ -348,63 +348,63 @@
       g_ptr_array_unref (server->runs);
       offers_free (server->offers);
       g_free (server->used_by);
-      g_free (server->told_ms);
-      g_free (server->telling);
+      g_free (server->sent_ms);
+      g_free (server->state_scheduled);
     }
   g_sequence_free (replay->events);
   g_hash_table_unref (replay->by_id);
   g_ptr_array_unref (replay->jobs);
-  g_free (replay->waiters);
+  g_free (replay->submissions);
   g_free (replay->entries);
   g_free (replay->servers);
-  g_free (replay->known);
+  g_free (replay->links);
 }
 
 static void
 plan (Replay *replay)
 {
   replay->jobs = load_plan (replay->init);
-  replay->waiters = g_new0 (Waiter, replay->jobs->len);
+  replay->submissions = g_new0 (Submission, replay->jobs->len);
   for (guint i = 0; i < replay->jobs->len; i++)
     {
       LoadJob *job = g_ptr_array_index (replay->jobs, i);
-      Waiter *waiter = &replay->waiters[i];
-
-      waiter->replay = replay;
-      waiter->job = job;
-      waiter->entry = &replay->entries[job->entry];
-      g_hash_table_insert (replay->by_id, job->id, waiter);
-      event_at (replay, replay->began + job->arrived_ms, EVENT_ARRIVES, waiter->entry,
-                NULL)
-          ->waiter
-          = waiter;
+      Submission *submission = &replay->submissions[i];
+
+      submission->replay = replay;
+      submission->job = job;
+      submission->entry = &replay->entries[job->entry];
+      g_hash_table_insert (replay->by_id, job->id, submission);
+      event_at (replay, replay->start_ms + job->arrived_ms, EVENT_ARRIVAL,
+                submission->entry, NULL)
+          ->submission
+          = submission;
     }
 }
 
 static void
 account (Replay *replay, LoadResult *result)
 {
-  double whole = 0;
+  double capacity = 0;
 
   for (guint i = 0; i < replay->init->servers; i++)
-    whole += (double)replay->servers[i].capacity.cpu_milli * replay->init->length_ms;
-  result->idle.fresh = replay->idle.fresh / whole;
-  result->idle.offered = replay->idle.offered / whole;
-  result->idle.unseen = replay->idle.unseen / whole;
+    capacity += (double)replay->servers[i].capacity.cpu_milli * replay->init->length_ms;
+  result->idle.fresh = replay->idle.fresh / capacity;
+  result->idle.offered = replay->idle.offered / capacity;
+  result->idle.unseen = replay->idle.unseen / capacity;
   load_account (replay->init, replay->jobs, result);
 }
 
 void
 load_replay (const LoadInit *init, LoadResult *result)
 {
-  Replay replay = { .init = init, .now = 100000, .began = 100000 };
+  Replay replay = { .init = init, .now = 100000, .start_ms = 100000 };
   gint64 end = replay.now + init->length_ms + LOAD_DEADLINE_MS;
 
   replay.events = g_sequence_new (g_free);
   replay.by_id = g_hash_table_new (g_str_hash, g_str_equal);
   replay.entries = g_new0 (Entry, init->entries);
   replay.servers = g_new0 (Server, init->servers);
-  replay.known = g_new0 (Known, init->entries * init->servers);
+  replay.links = g_new0 (ServerLink, init->entries * init->servers);
   for (guint i = 0; i < init->servers; i++)
     open_server (&replay, i);
   for (guint i = 0; i < init->entries; i++)
--- a/tests/load_replay_parts.h
+++ b/tests/load_replay_parts.h
@@ -6,7 +6,7 @@
 #include "throttle.h"
 
 /* One way between an entry and an agent, with a turn of either's loop. */
-#define WAY_MS 2
+#define ONE_WAY_MS 2
 /* An agent tells its state at most this often. */
 #define STATE_MS 15
 #define SERVER_LEASE_MS 700
@@ -19,7 +19,7 @@
   Replay *replay;
   guint index;
   Dispatcher *dispatcher;
-  gboolean pump_wanted;
+  gboolean pump_needed;
   double uplink_free_at;
   double downlink_free_at;
 } Entry;
@@ -31,13 +31,13 @@
   LoadJob *job;
   Entry *entry;
   guint waiting; /* tasks that are not ordered */
-} Waiter;
+} Submission;
 
 typedef struct
 {
-  Waiter *waiter;
+  Submission *submission;
   RunKey key;
-  gboolean over;
+  gboolean ended;
   gint64 started_ms;
 } Run;
 
@@ -50,8 +50,8 @@
   Demand *used_by; /* by entry */
   GPtrArray *runs;
   Offers *offers;
-  gint64 *told_ms; /* by entry */
-  gboolean *telling;
+  gint64 *sent_ms; /* by entry */
+  gboolean *state_scheduled;
 } Server;
 
 /* A server as one entry knows it: what the dispatcher's callbacks hand back; and the link
@@ -59,41 +59,41 @@
 typedef struct
 {
   Server *server;
-  LeasedServer *known;
-  Throttle state_pace;
-  guint late_there_ms; /* the entry's last frame came to the agent */
-  guint late_here_ms;  /* the agent's to the entry */
-} Known;
+  LeasedServer *leased;
+  Throttle state_throttle;
+  guint send_delay_ms;    /* the entry's last frame came to the agent */
+  guint receive_delay_ms; /* the agent's to the entry */
+} ServerLink;
 
 typedef enum
 {
-  EVENT_ARRIVES,
-  EVENT_ORDERED,
-  EVENT_STOPPED,
-  EVENT_WANTED,
-  EVENT_ENDS,
-  EVENT_REPORTED,
-  EVENT_TELLS,
-  EVENT_TOLD,
-  EVENT_BEAT,
-  EVENT_BEAT_HEARD,
-  EVENT_BEAT_ANSWERED,
+  EVENT_ARRIVAL,
+  EVENT_ORDER,
+  EVENT_STOP,
+  EVENT_RESOURCE_REQUEST,
+  EVENT_RUN_END,
+  EVENT_REPORT,
+  EVENT_SEND_STATE,
+  EVENT_STATE,
+  EVENT_SEND_HEARTBEAT,
+  EVENT_HEARTBEAT,
+  EVENT_HEARTBEAT_REPLY,
 } EventKind;
 
 typedef struct
 {
   gint64 at;
   gint64 sent_at;
-  guint64 number;
+  guint64 seq;
   EventKind kind;
   Entry *entry;
   Server *server;
-  Waiter *waiter;
+  Submission *submission;
   Run *run;
   RunKey key;
   gint64 valid_until_ms; /* of an order */
-  guint late_there_ms;   /* what the agent has heard of the entry came this late */
-  ResourceRequest wish;
+  guint send_delay_ms;   /* what the agent has heard of the entry came this late */
+  ResourceRequest request;
   TaskReport report;
   Demand used_by_others;
   gboolean offered;
@@ -104,22 +104,22 @@
 {
   const LoadInit *init;
   gint64 now;
-  gint64 began;
-  guint64 numbers;
+  gint64 start_ms;
+  guint64 next_seq;
   GSequence *events;
   Entry *entries;
   Server *servers;
-  Known *known;      /* entries x servers */
-  GPtrArray *jobs;   /* of LoadJob */
-  Waiter *waiters;   /* in the same order */
-  GHashTable *by_id; /* of Waiter */
-  LoadIdle idle;     /* ms x thousandths of a core */
+  ServerLink *links;       /* entries x servers */
+  GPtrArray *jobs;         /* of LoadJob */
+  Submission *submissions; /* in the same order */
+  GHashTable *by_id;       /* of Waiter */
+  LoadIdle idle;           /* ms x thousandths of a core */
 };
 
 /** event_at - something happens later. Return: the event, to be filled in. */
 Event *event_at (Replay *replay, gint64 at, EventKind kind, Entry *entry, Server *server);
 
-Known *known_server (Replay *replay, const Entry *entry, const Server *server);
+ServerLink *server_link (Replay *replay, const Entry *entry, const Server *server);
 
 /* load_links.c */
 
@@ -127,16 +127,16 @@
 gint64 link_to_agent (Replay *replay, Entry *entry, guint bytes);
 gint64 link_to_entry (Replay *replay, Entry *entry, guint bytes);
 
-/** link_heard_by_agent - a frame of an entry has arrived. */
-void link_heard_by_agent (Replay *replay, const Event *event);
-void link_heard_by_entry (Replay *replay, const Event *event);
-void link_beat (Replay *replay, const Event *event);
-void link_beat_heard (Replay *replay, const Event *event);
+/** link_received_by_agent - a frame of an entry has arrived. */
+void link_received_by_agent (Replay *replay, const Event *event);
+void link_received_by_entry (Replay *replay, const Event *event);
+void link_send_heartbeat (Replay *replay, const Event *event);
+void link_reply_heartbeat (Replay *replay, const Event *event);
 void link_open (Replay *replay, Entry *entry, Server *server);
 
 /* load_agents.c */
-void agent_changed (Replay *replay, Server *server);
-void agent_take_order (Replay *replay, const Event *event);
-void agent_take_stop (Replay *replay, const Event *event);
-void agent_run_over (Replay *replay, Server *server, Run *run, TaskEvent how);
-void agent_tell_state (Replay *replay, const Event *event);
+void agent_state_changed (Replay *replay, Server *server);
+void agent_on_order (Replay *replay, const Event *event);
+void agent_on_stop (Replay *replay, const Event *event);
+void agent_end_run (Replay *replay, Server *server, Run *run, TaskEvent how);
+void agent_send_state (Replay *replay, const Event *event);
--- a/tests/load_table.c
+++ b/tests/load_table.c
@@ -7,18 +7,18 @@
 #include <stdlib.h>
 
 static const guint entries[] = { 1, 3, 4, 12 };
-static const double parts[] = { 0.7, 0.8, 0.9, 1.0, 1.15, 1.4 };
+static const double loads[] = { 0.7, 0.8, 0.9, 1.0, 1.15, 1.4 };
 
 static int option_seeds = 3;
 static int option_entries = 0;
-static double option_part = 0;
+static double option_load = 0;
 static char *option_mix = NULL;
 static gboolean option_brief = FALSE;
 
 static const GOptionEntry options[] = {
   { "seeds", 's', 0, G_OPTION_ARG_INT, &option_seeds, "Seeds a row", "N" },
   { "entries", 'e', 0, G_OPTION_ARG_INT, &option_entries, "Only with so many", "N" },
-  { "load", 'l', 0, G_OPTION_ARG_DOUBLE, &option_part, "Only this load", "PART" },
+  { "load", 'l', 0, G_OPTION_ARG_DOUBLE, &option_load, "Only this load", "PART" },
   { "mix", 'm', 0, G_OPTION_ARG_STRING, &option_mix, "Only this mix", "NAME" },
   { "brief", 'b', 0, G_OPTION_ARG_NONE, &option_brief, "Means of all rows only", NULL },
   { NULL }
@@ -38,7 +38,7 @@
 } Row;
 
 static double
-part_of (double of, double whole)
+ratio (double of, double whole)
 {
   return whole > 0 ? of / whole : 0;
 }
@@ -46,19 +46,19 @@
 static void
 add_result (Row *row, const LoadInit *init, const LoadResult *result)
 {
-  const LoadShare *all = &result->all;
+  const LoadTotals *all = &result->all;
   double worst = 1;
 
   for (guint i = 0; init->queues[i].name != NULL; i++)
-    worst = MIN (worst,
-                 part_of (result->queues[i].earned, result->queues[i].total_benefit));
-  row->earned += part_of (all->earned, all->total_benefit) / option_seeds;
-  row->served += part_of (all->served, all->jobs) / option_seeds;
-  row->refused += part_of (all->refused, all->jobs) / option_seeds;
-  row->given_up += part_of (all->given_up, all->jobs) / option_seeds;
-  row->held += part_of (all->late_unstarted, all->total_benefit) / option_seeds;
+    worst
+        = MIN (worst, ratio (result->queues[i].earned, result->queues[i].total_benefit));
+  row->earned += ratio (all->earned, all->total_benefit) / option_seeds;
+  row->served += ratio (all->served, all->jobs) / option_seeds;
+  row->refused += ratio (all->refused, all->jobs) / option_seeds;
+  row->given_up += ratio (all->given_up, all->jobs) / option_seeds;
+  row->held += ratio (all->late_unstarted, all->total_benefit) / option_seeds;
   row->worst += worst / option_seeds;
-  row->used += result->used_part / option_seeds;
+  row->used += result->utilization / option_seeds;
   row->wasted += result->wasted_fraction / option_seeds;
   row->idle.fresh += result->idle.fresh / option_seeds;
   row->idle.offered += result->idle.offered / option_seeds;
@@ -66,25 +66,25 @@
 }
 
 static void
-print_row (const char *mix, guint n, double part, const Row *ours, const Row *central)
+print_row (const char *mix, guint n, double load, const Row *ours, const Row *central)
 {
   g_print ("%-14s %2u %4.2f  %.3f %.3f %.3f  %.3f %.3f %.3f %.3f %.3f  %.3f %.3f %.3f  "
            "%.3f %.3f %.3f\n",
-           mix, n, part, ours->earned, ours->served, ours->worst, ours->refused,
+           mix, n, load, ours->earned, ours->served, ours->worst, ours->refused,
            ours->given_up, ours->held, ours->used, ours->wasted, ours->idle.fresh,
            ours->idle.offered, ours->idle.unseen, central->earned, central->served,
            central->worst);
 }
 
 static void
-play (const LoadMix *mix, guint n, double part, Row *sum, Row *sum_central)
+replay_row (const LoadMix *mix, guint n, double load, Row *sum, Row *sum_central)
 {
   Row ours = { 0 };
   Row central = { 0 };
 
   for (gint seed = 1; seed <= option_seeds; seed++)
     {
-      LoadInit init = load_of_mix (mix, part, n, (guint32)seed);
+      LoadInit init = load_init_from_mix (mix, load, n, (guint32)seed);
       LoadResult result = { 0 };
 
       load_replay (&init, &result);
@@ -93,7 +93,7 @@
       add_result (&central, &init, &result);
     }
   if (!option_brief)
-    print_row (mix->name, n, part, &ours, &central);
+    print_row (mix->name, n, load, &ours, &central);
   sum->earned += ours.earned;
   sum->served += ours.served;
   sum->worst += ours.worst;
@@ -104,19 +104,19 @@
 }
 
 static void
-play_mix (const LoadMix *mix)
+replay_mix (const LoadMix *mix)
 {
   Row sum = { 0 };
   Row central = { 0 };
   guint rows = 0;
 
   for (guint i = 0; i < G_N_ELEMENTS (entries); i++)
-    for (guint j = 0; j < G_N_ELEMENTS (parts); j++)
+    for (guint j = 0; j < G_N_ELEMENTS (loads); j++)
       {
         if ((option_entries > 0 && entries[i] != (guint)option_entries)
-            || (option_part > 0 && parts[j] != option_part))
+            || (option_load > 0 && loads[j] != option_load))
           continue;
-        play (mix, entries[i], parts[j], &sum, &central);
+        replay_row (mix, entries[i], loads[j], &sum, &central);
         rows++;
       }
   if (rows == 0)
@@ -148,6 +148,6 @@
         "mix");
   for (guint i = 0; i < load_n_mixes; i++)
     if (option_mix == NULL || g_str_equal (option_mix, load_mixes[i].name))
-      play_mix (&load_mixes[i]);
+      replay_mix (&load_mixes[i]);
   return EXIT_SUCCESS;
 }
--- a/tests/test-load-service.c
+++ b/tests/test-load-service.c
@@ -24,10 +24,10 @@
 
 /* The mix takes 127 cores; servers are as many as make it this part of their capacity. */
 static LoadInit
-load_of (double part, guint entries, guint32 seed)
+make_init (double load, guint entries, guint32 seed)
 {
   LoadInit init = { .entries = entries,
-                    .servers = (guint)(127 / part / 16 + 0.5),
+                    .servers = (guint)(127 / load / 16 + 0.5),
                     .server_cpu_milli = 16000,
                     .warmup_ms = SETTLE_MS,
                     .length_ms = SETTLE_MS + 20000,
@@ -39,54 +39,54 @@
 }
 
 static double
-part (double of, double whole)
+ratio (double of, double whole)
 {
   return whole > 0 ? of / whole : 0;
 }
 
 static void
-add_share (LoadShare *sum, const LoadShare *share)
+add_totals (LoadTotals *sum, const LoadTotals *totals)
 {
-  sum->total_benefit += share->total_benefit;
-  sum->earned += share->earned;
-  sum->largest_owed += share->largest_owed;
-  sum->largest_earned += share->largest_earned;
-  sum->late_unstarted += share->late_unstarted;
-  sum->jobs += share->jobs;
-  sum->in_time += share->in_time;
-  sum->served += share->served;
-  sum->refused += share->refused;
-  sum->given_up += share->given_up;
+  sum->total_benefit += totals->total_benefit;
+  sum->earned += totals->earned;
+  sum->largest_benefit += totals->largest_benefit;
+  sum->largest_earned += totals->largest_earned;
+  sum->late_unstarted += totals->late_unstarted;
+  sum->jobs += totals->jobs;
+  sum->on_time += totals->on_time;
+  sum->served += totals->served;
+  sum->refused += totals->refused;
+  sum->given_up += totals->given_up;
 }
 
 static void
 add_result (LoadResult *sum, const LoadResult *result)
 {
-  add_share (&sum->all, &result->all);
+  add_totals (&sum->all, &result->all);
   for (guint i = 0; i < LOAD_QUEUES_MAX; i++)
-    add_share (&sum->queues[i], &result->queues[i]);
-  sum->used_part += result->used_part / SEEDS;
+    add_totals (&sum->queues[i], &result->queues[i]);
+  sum->utilization += result->utilization / SEEDS;
   sum->wasted_fraction += result->wasted_fraction / SEEDS;
 }
 
 static void
-tell_share (const char *name, const LoadShare *share)
+log_totals (const char *name, const LoadTotals *totals)
 {
   g_test_message (
       "%s: jobs %u earned %.3f largest %.3f in time %.3f served %.3f refused %.3f "
       "given up %.3f held untried %.3f",
-      name, share->jobs, part (share->earned, share->total_benefit),
-      part (share->largest_earned, share->largest_owed),
-      part (share->in_time, share->jobs), part (share->served, share->jobs),
-      part (share->refused, share->jobs), part (share->given_up, share->jobs),
-      part (share->late_unstarted, share->total_benefit));
+      name, totals->jobs, ratio (totals->earned, totals->total_benefit),
+      ratio (totals->largest_earned, totals->largest_benefit),
+      ratio (totals->on_time, totals->jobs), ratio (totals->served, totals->jobs),
+      ratio (totals->refused, totals->jobs), ratio (totals->given_up, totals->jobs),
+      ratio (totals->late_unstarted, totals->total_benefit));
 }
 
 /* What must come of a load, at the least and the most. */
 typedef struct
 {
   const char *name;
-  double part; /* of the servers' capacity */
+  double load; /* of the servers' capacity */
   guint entries;
   double burst; /* times the load from 5 s to 9 s; 0: none */
   double earned;
@@ -127,7 +127,7 @@
 
   for (guint32 seed = SEED; seed < SEED + SEEDS; seed++)
     {
-      LoadInit init = load_of (c->part, c->entries, seed);
+      LoadInit init = make_init (c->load, c->entries, seed);
       LoadResult one;
 
       if (c->burst > 0)
@@ -139,20 +139,20 @@
       load_replay (&init, &one);
       add_result (&result, &one);
     }
-  g_test_message ("used %.3f wasted %.3f", result.used_part, result.wasted_fraction);
-  tell_share ("all", &result.all);
+  g_test_message ("used %.3f wasted %.3f", result.utilization, result.wasted_fraction);
+  log_totals ("all", &result.all);
   for (guint i = 0; mix[i].name != NULL; i++)
     {
-      tell_share (mix[i].name, &result.queues[i]);
-      g_assert_cmpfloat (part (result.queues[i].earned, result.queues[i].total_benefit),
+      log_totals (mix[i].name, &result.queues[i]);
+      g_assert_cmpfloat (ratio (result.queues[i].earned, result.queues[i].total_benefit),
                          >=, c->earned_by_any);
     }
-  g_assert_cmpfloat (part (result.all.earned, result.all.total_benefit), >=, c->earned);
-  g_assert_cmpfloat (part (result.all.served, result.all.jobs), >=, c->served);
+  g_assert_cmpfloat (ratio (result.all.earned, result.all.total_benefit), >=, c->earned);
+  g_assert_cmpfloat (ratio (result.all.served, result.all.jobs), >=, c->served);
   g_assert_cmpfloat (
-      part (result.queues[0].largest_earned, result.queues[0].largest_owed), >=,
+      ratio (result.queues[0].largest_earned, result.queues[0].largest_benefit), >=,
       c->earned_by_largest);
-  g_assert_cmpfloat (part (result.all.late_unstarted, result.all.total_benefit), <=,
+  g_assert_cmpfloat (ratio (result.all.late_unstarted, result.all.total_benefit), <=,
                      c->late_unstarted);
   g_assert_cmpfloat (result.wasted_fraction, <=, c->wasted);
 }
@@ -162,7 +162,7 @@
 typedef struct
 {
   const char *name; /* of the mix */
-  double part;
+  double load;
   guint entries;
   double earned_less;
   double served_less;
@@ -193,7 +193,7 @@
     mix++;
   for (guint32 seed = SEED; seed < SEED + SEEDS; seed++)
     {
-      LoadInit init = load_of_mix (mix, c->part, c->entries, seed);
+      LoadInit init = load_init_from_mix (mix, c->load, c->entries, seed);
       LoadResult one = { 0 };
 
       load_replay (&init, &one);
@@ -201,13 +201,13 @@
       load_central (&init, &one);
       add_result (&central, &one);
     }
-  tell_share ("ours", &ours.all);
-  tell_share ("central", &central.all);
-  g_assert_cmpfloat (part (ours.all.earned, ours.all.total_benefit), >=,
-                     part (central.all.earned, central.all.total_benefit)
+  log_totals ("ours", &ours.all);
+  log_totals ("central", &central.all);
+  g_assert_cmpfloat (ratio (ours.all.earned, ours.all.total_benefit), >=,
+                     ratio (central.all.earned, central.all.total_benefit)
                          - c->earned_less);
-  g_assert_cmpfloat (part (ours.all.served, ours.all.jobs), >=,
-                     part (central.all.served, central.all.jobs) - c->served_less);
+  g_assert_cmpfloat (ratio (ours.all.served, ours.all.jobs), >=,
+                     ratio (central.all.served, central.all.jobs) - c->served_less);
 }
 
 int
@@ -219,7 +219,7 @@
     {
       const CentralCase *c = &central_cases[i];
       char *path = g_strdup_printf ("/service/central/%s/%u-entries-at-%.0f", c->name,
-                                    c->entries, c->part * 100);
+                                    c->entries, c->load * 100);
 
       g_test_add_data_func (path, c, test_central);
       g_free (path);
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -15,10 +15,10 @@
 
 /* The mix takes 127 cores; servers are as many as make it this part of their capacity. */
 static LoadInit
-load_of (double part, guint entries, guint32 seed)
+make_init (double load, guint entries, guint32 seed)
 {
   LoadInit init = { .entries = entries,
-                    .servers = (guint)(127 / part / 16 + 0.5),
+                    .servers = (guint)(127 / load / 16 + 0.5),
                     .server_cpu_milli = 16000,
                     .length_ms = 20000,
                     .burst = 1,
@@ -29,29 +29,29 @@
 }
 
 static double
-part (double of, double whole)
+ratio (double of, double whole)
 {
   return whole > 0 ? of / whole : 0;
 }
 
 static void
-tell_share (const char *name, const LoadShare *share)
+log_totals (const char *name, const LoadTotals *totals)
 {
   g_test_message (
       "%s: jobs %u earned %.3f largest %.3f in time %.3f refused %.3f given up "
       "%.3f held untried %.3f",
-      name, share->jobs, part (share->earned, share->total_benefit),
-      part (share->largest_earned, share->largest_owed),
-      part (share->in_time, share->jobs), part (share->refused, share->jobs),
-      part (share->given_up, share->jobs),
-      part (share->late_unstarted, share->total_benefit));
+      name, totals->jobs, ratio (totals->earned, totals->total_benefit),
+      ratio (totals->largest_earned, totals->largest_benefit),
+      ratio (totals->on_time, totals->jobs), ratio (totals->refused, totals->jobs),
+      ratio (totals->given_up, totals->jobs),
+      ratio (totals->late_unstarted, totals->total_benefit));
 }
 
 /* What must come of a load, at the least and the most. */
 typedef struct
 {
   const char *name;
-  double part; /* of the servers' capacity */
+  double load; /* of the servers' capacity */
   guint entries;
   double burst; /* times the load from 5 s to 9 s; 0: none */
   double earned;
@@ -83,7 +83,7 @@
 test_load (gconstpointer data)
 {
   const LoadCase *c = data;
-  LoadInit init = load_of (c->part, c->entries, SEED);
+  LoadInit init = make_init (c->load, c->entries, SEED);
   LoadResult result;
 
   if (c->burst > 0)
@@ -93,19 +93,19 @@
       init.burst_to_ms = 9000;
     }
   load_replay (&init, &result);
-  g_test_message ("used %.3f wasted %.3f", result.used_part, result.wasted_fraction);
-  tell_share ("all", &result.all);
+  g_test_message ("used %.3f wasted %.3f", result.utilization, result.wasted_fraction);
+  log_totals ("all", &result.all);
   for (guint i = 0; mix[i].name != NULL; i++)
     {
-      tell_share (mix[i].name, &result.queues[i]);
-      g_assert_cmpfloat (part (result.queues[i].earned, result.queues[i].total_benefit),
+      log_totals (mix[i].name, &result.queues[i]);
+      g_assert_cmpfloat (ratio (result.queues[i].earned, result.queues[i].total_benefit),
                          >=, c->earned_by_any);
     }
-  g_assert_cmpfloat (part (result.all.earned, result.all.total_benefit), >=, c->earned);
+  g_assert_cmpfloat (ratio (result.all.earned, result.all.total_benefit), >=, c->earned);
   g_assert_cmpfloat (
-      part (result.queues[0].largest_earned, result.queues[0].largest_owed), >=,
+      ratio (result.queues[0].largest_earned, result.queues[0].largest_benefit), >=,
       c->earned_by_largest);
-  g_assert_cmpfloat (part (result.all.late_unstarted, result.all.total_benefit), <=,
+  g_assert_cmpfloat (ratio (result.all.late_unstarted, result.all.total_benefit), <=,
                      c->late_unstarted);
   g_assert_cmpfloat (result.wasted_fraction, <=, c->wasted);
 }
--- a/tools/bench.c
+++ b/tools/bench.c
@@ -31,7 +31,7 @@
   double burst_factor; /* 0: none */
   gboolean overload;   /* with a deadline that not all can meet */
   void (*prepare) (Run *run);
-  void (*strike) (void *run);
+  void (*inject_fault) (void *run);
   Bounds bounds;
 } Scenario;
 
@@ -66,23 +66,23 @@
     .bounds = { 1.12, 1.3, 2.0, 0, 0.01, NO_BOUND, NO_BOUND } },
   { .name = "fails-all",
     .load = 0.7,
-    .strike = strike_fail_all,
+    .inject_fault = inject_fail_all,
     .bounds = { 1.1, 1.3, 2.0, 0.03, 0, NO_BOUND, NO_BOUND } },
   { .name = "straggler",
     .load = 0.7,
-    .strike = strike_straggler,
+    .inject_fault = inject_straggler,
     .bounds = { 1.12, 2.2, 2.0, 0, 0, NO_BOUND, NO_BOUND } },
   { .name = "cancels",
     .load = 0.8,
-    .strike = strike_cancels,
+    .inject_fault = inject_cancels,
     .bounds = { 1.06, 1.3, 2.0, 0.03, 0, NO_BOUND, NO_BOUND } },
   { .name = "store-down",
     .load = 0.8,
-    .strike = strike_store,
+    .inject_fault = inject_store_hang,
     .bounds = { 1.06, 1.3, 2.0, 0, 0, NO_BOUND, NO_BOUND } },
   { .name = "zone-killed",
     .load = 0.4,
-    .strike = strike_zone,
+    .inject_fault = inject_zone_kill,
     .bounds = { 1.1, 1.3, 2.2, 0.05, 0, NO_BOUND, NO_BOUND } },
 };
 
@@ -100,7 +100,7 @@
               .jobs = bench_trace (&trace),
               .duration_ms = bench->duration_ms,
               .deadline = scenario->overload ? OVERLOAD_DEADLINE : "",
-              .strike = scenario->strike };
+              .inject_fault = scenario->inject_fault };
   Counts before;
   Counts after;
   Result result;
@@ -169,7 +169,7 @@
 }
 
 static gboolean
-is_wanted (const Bench *bench, const char *name)
+is_selected (const Bench *bench, const char *name)
 {
   return bench->only == NULL || strcmp (bench->only, name) == 0;
 }
@@ -201,9 +201,9 @@
   if (quick)
     bench.duration_ms = QUICK_MS;
   for (gsize i = 0; i < G_N_ELEMENTS (scenarios); i++)
-    if (is_wanted (&bench, scenarios[i].name))
+    if (is_selected (&bench, scenarios[i].name))
       run_scenario (&bench, &scenarios[i]);
-  if (is_wanted (&bench, "cost"))
+  if (is_selected (&bench, "cost"))
     run_costs (&bench);
   printf ("bench: %u figures missed their bound\n", bench.report.missed);
   g_option_context_free (context);
--- a/tools/bench_cost.c
+++ b/tools/bench_cost.c
@@ -117,7 +117,7 @@
   char *body = job_body (FLOOD_TASKS, "0", NULL);
   double entry_us = sum (cost, harness->entries, "process_cpu_us");
   double agent_us = sum (cost, harness->agents, "process_cpu_us");
-  gint64 begun_us = clock_now_us ();
+  gint64 start_us = clock_now_us ();
   double tasks = FLOOD_JOBS * FLOOD_TASKS;
 
   for (guint i = 0; i < FLOOD_JOBS; i++)
@@ -129,7 +129,7 @@
       g_assert_cmpint (exchanges[i]->status, ==, 200);
       exchange_free (exchanges[i]);
     }
-  cost->report ("flood-tasks-per-second", tasks * 1e6 / (clock_now_us () - begun_us), -1,
+  cost->report ("flood-tasks-per-second", tasks * 1e6 / (clock_now_us () - start_us), -1,
                 cost->ctx);
   entry_us = sum (cost, harness->entries, "process_cpu_us") - entry_us;
   agent_us = sum (cost, harness->agents, "process_cpu_us") - agent_us;
@@ -207,7 +207,7 @@
 {
   PlacementCandidate *candidates = g_new0 (PlacementCandidate, servers);
   guint rounds = DECISIONS / servers + 1;
-  gint64 begun_us;
+  gint64 start_us;
   volatile int sink = 0;
 
   for (guint i = 0; i < servers; i++)
@@ -217,11 +217,11 @@
       candidates[i].slowness = 1 + (i % 7) / 10.0;
       candidates[i].suitable = TRUE;
     }
-  begun_us = clock_now_us ();
+  start_us = clock_now_us ();
   for (guint i = 0; i < rounds; i++)
     sink += placement_choose (candidates, servers, 300, i);
   g_free (candidates);
-  return (clock_now_us () - begun_us) * 1000.0 / rounds;
+  return (clock_now_us () - start_us) * 1000.0 / rounds;
 }
 
 static Queue *
@@ -251,50 +251,50 @@
 estimate_ns (guint teams)
 {
   Queue *queue = filled_queue (teams, 10000);
-  gint64 begun_us = clock_now_us ();
+  gint64 start_us = clock_now_us ();
   volatile double sink = 0;
 
   for (guint i = 0; i < ESTIMATES; i++)
     sink += queue_expected_finish (queue, "team-0", 10000, 100, 80, 10000 + i);
   queue_free (queue);
-  return (clock_now_us () - begun_us) * 1000.0 / ESTIMATES;
+  return (clock_now_us () - start_us) * 1000.0 / ESTIMATES;
 }
 
 static double
 queue_ns (guint teams, guint jobs)
 {
   Queue *queue = filled_queue (teams, jobs);
-  gint64 begun_us = clock_now_us ();
+  gint64 start_us = clock_now_us ();
   guint rounds = 20000;
 
   for (guint i = 0; i < rounds; i++)
     queue_finished (queue, queue_pick (queue, 80), TRUE);
-  begun_us = clock_now_us () - begun_us;
+  start_us = clock_now_us () - start_us;
   queue_free (queue);
-  return begun_us * 1000.0 / rounds;
+  return start_us * 1000.0 / rounds;
 }
 
 static void
-nothing_started (const OwnerTask *task,
-                 const char *path,
-                 const void *payload,
-                 gsize size,
-                 gpointer ctx)
+ignore_start (const OwnerTask *task,
+              const char *path,
+              const void *payload,
+              gsize size,
+              gpointer ctx)
 {
 }
 
 static void
-nothing_told (const OwnerTask *task, gpointer ctx)
+ignore_report (const OwnerTask *task, gpointer ctx)
 {
 }
 
 static double
 owner_ns (void)
 {
-  static const OwnerOps ops = { nothing_started, nothing_told };
+  static const OwnerOps ops = { ignore_start, ignore_report };
   OwnerLimits limits = { 8, 1 << 30 };
   Owner *owner = owner_new (&limits, &ops, NULL);
-  gint64 begun_us = clock_now_us ();
+  gint64 start_us = clock_now_us ();
 
   for (guint i = 0; i < DECISIONS; i++)
     {
@@ -304,9 +304,9 @@
       owner_finish (owner, &key, GW__OUTCOME__KIND__ANSWERED, 0, 200, NULL, 0);
       owner_ack (owner, &key, 1);
     }
-  begun_us = clock_now_us () - begun_us;
+  start_us = clock_now_us () - start_us;
   owner_free (owner);
-  return begun_us * 1000.0 / DECISIONS;
+  return start_us * 1000.0 / DECISIONS;
 }
 
 void
--- a/tools/bench_counts.c
+++ b/tools/bench_counts.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 static void
-add_page (GHashTable *sums, const char *page)
+add_counters (GHashTable *sums, const char *page)
 {
   char **lines = g_strsplit (page, "\n", -1);
 
@@ -39,7 +39,7 @@
       if (process->pid == 0)
         continue;
       exchange = harness_get (harness, process->http, "/counters");
-      add_page (sums, exchange->body);
+      add_counters (sums, exchange->body);
       exchange_free (exchange);
     }
   return sums;
@@ -62,7 +62,7 @@
 }
 
 static double
-grown_of (GHashTable *before, GHashTable *after, const char *name)
+increase_of (GHashTable *before, GHashTable *after, const char *name)
 {
   const guint64 *old = g_hash_table_lookup (before, name);
   const guint64 *new = g_hash_table_lookup (after, name);
@@ -71,20 +71,20 @@
 }
 
 double
-counts_entries_grown (const Counts *before, const Counts *after, const char *name)
+counts_entries_increase (const Counts *before, const Counts *after, const char *name)
 {
-  return grown_of (before->entry, after->entry, name);
+  return increase_of (before->entry, after->entry, name);
 }
 
 double
-counts_agents_grown (const Counts *before, const Counts *after, const char *name)
+counts_agents_increase (const Counts *before, const Counts *after, const char *name)
 {
-  return grown_of (before->agent, after->agent, name);
+  return increase_of (before->agent, after->agent, name);
 }
 
 double
-counts_grown (const Counts *before, const Counts *after, const char *name)
+counts_increase (const Counts *before, const Counts *after, const char *name)
 {
-  return counts_entries_grown (before, after, name)
-         + counts_agents_grown (before, after, name);
+  return counts_entries_increase (before, after, name)
+         + counts_agents_increase (before, after, name);
 }
--- a/tools/bench_counts.h
+++ b/tools/bench_counts.h
@@ -11,8 +11,10 @@
 Counts counts_take (Harness *harness);
 void counts_free (Counts *counts);
 
-/** counts_grown - by how much a counter grew over all processes; never negative, since a
- * killed process takes its counts with it. */
-double counts_grown (const Counts *before, const Counts *after, const char *name);
-double counts_entries_grown (const Counts *before, const Counts *after, const char *name);
-double counts_agents_grown (const Counts *before, const Counts *after, const char *name);
+/** counts_increase - by how much a counter grew over all processes; never negative, since
+ * a killed process takes its counts with it. */
+double counts_increase (const Counts *before, const Counts *after, const char *name);
+double
+counts_entries_increase (const Counts *before, const Counts *after, const char *name);
+double
+counts_agents_increase (const Counts *before, const Counts *after, const char *name);
--- a/tools/bench_report.c
+++ b/tools/bench_report.c
@@ -30,7 +30,7 @@
     {
       char *counter = g_strdup_printf ("frames_%s", kinds[i]);
       char *figure = g_strdup_printf ("frames-per-task-%s", kinds[i]);
-      double n = counts_grown (before, after, counter) / tasks;
+      double n = counts_increase (before, after, counter) / tasks;
 
       frames += n;
       report_line (report, figure, n, NO_BOUND);
@@ -39,7 +39,7 @@
     }
   report_line (report, "frames-per-task", frames, bound);
   report_line (report, "bytes-per-task",
-               counts_grown (before, after, "bytes_sent") / tasks, NO_BOUND);
+               counts_increase (before, after, "bytes_sent") / tasks, NO_BOUND);
   return frames;
 }
 
@@ -53,7 +53,7 @@
 
   for (gsize i = 0; i < G_N_ELEMENTS (kinds); i++)
     {
-      double n = counts_grown (before, after, kinds[i]) / tasks;
+      double n = counts_increase (before, after, kinds[i]) / tasks;
       char *figure = g_strdup_printf ("wasted-per-task-%s", kinds[i]);
 
       wasted += n;
@@ -68,8 +68,8 @@
 static double
 report_cpu (Report *report, const Counts *before, const Counts *after, double tasks)
 {
-  double entry_us = counts_entries_grown (before, after, "process_cpu_us") / tasks;
-  double agent_us = counts_agents_grown (before, after, "process_cpu_us") / tasks;
+  double entry_us = counts_entries_increase (before, after, "process_cpu_us") / tasks;
+  double agent_us = counts_agents_increase (before, after, "process_cpu_us") / tasks;
 
   report_line (report, "entry-cpu-us-per-task", entry_us, NO_BOUND);
   report_line (report, "agent-cpu-us-per-task", agent_us, NO_BOUND);
@@ -225,7 +225,7 @@
             const Bounds *bounds,
             double deadline_ms)
 {
-  Outcomes outcomes = run_judge (run);
+  Outcomes outcomes = run_classify (run);
   Slowdowns got = bench_slowdowns (run->jobs);
   double tasks = MAX (outcomes.tasks_complete, 1);
   Result result = { .mean = got.mean, .p99 = got.p99 };
--- a/tools/bench_run.c
+++ b/tools/bench_run.c
@@ -41,7 +41,7 @@
       const TraceJob *job = g_ptr_array_index (run->jobs, run->next);
       char *body;
 
-      if ((clock_now_us () - run->begun_us) / 1000.0 < job->arrival_ms)
+      if ((clock_now_us () - run->start_us) / 1000.0 < job->arrival_ms)
         return;
       body = job_json (job, run->next, run->deadline);
       run->exchanges[run->next]
@@ -66,17 +66,17 @@
 void
 run_drive (Run *run)
 {
-  gboolean struck = FALSE;
+  gboolean injected = FALSE;
 
-  run->begun_us = clock_now_us ();
+  run->start_us = clock_now_us ();
   while (!all_done (run))
     {
       submit_due (run);
-      if (!struck && (clock_now_us () - run->begun_us) / 1000.0 > run->duration_ms / 3)
+      if (!injected && (clock_now_us () - run->start_us) / 1000.0 > run->duration_ms / 3)
         {
-          struck = TRUE;
-          if (run->strike != NULL)
-            run->strike (run);
+          injected = TRUE;
+          if (run->inject_fault != NULL)
+            run->inject_fault (run);
         }
       harness_run_ms (run->harness, 1);
     }
@@ -102,7 +102,7 @@
 static double
 work_in_window (const Run *run, const TraceJob *job, const Exchange *exchange)
 {
-  double answered_ms = (exchange->answered_us - run->begun_us) / 1000.0;
+  double answered_ms = (exchange->answered_us - run->start_us) / 1000.0;
   double work_ms = 0;
 
   if (answered_ms < run->duration_ms / 4 || answered_ms > run->duration_ms)
@@ -128,7 +128,7 @@
 }
 
 static void
-judge_complete (Run *run, guint number, Outcomes *outcomes)
+count_complete (Run *run, guint number, Outcomes *outcomes)
 {
   TraceJob *job = g_ptr_array_index (run->jobs, number);
   const Exchange *exchange = run->exchanges[number];
@@ -142,7 +142,7 @@
 }
 
 static void
-judge_one (Run *run, guint number, Outcomes *outcomes, GArray *refusals)
+classify_one (Run *run, guint number, Outcomes *outcomes, GArray *refusals)
 {
   TraceJob *job = g_ptr_array_index (run->jobs, number);
   const Exchange *exchange = run->exchanges[number];
@@ -152,7 +152,7 @@
   if (exchange->end != HTTP_ANSWERED)
     outcomes->broken++;
   else if (exchange->status == 200)
-    judge_complete (run, number, outcomes);
+    count_complete (run, number, outcomes);
   else if (strstr (exchange->body, "\"ran\":\"not run\"") == NULL)
     outcomes->may_have_run++;
   else
@@ -162,13 +162,13 @@
 }
 
 Outcomes
-run_judge (Run *run)
+run_classify (Run *run)
 {
   Outcomes outcomes = { 0 };
   GArray *refusals = g_array_new (FALSE, FALSE, sizeof (double));
 
   for (guint i = 0; i < run->jobs->len; i++)
-    judge_one (run, i, &outcomes, refusals);
+    classify_one (run, i, &outcomes, refusals);
   g_array_sort (refusals, compare_doubles);
   outcomes.refused = refusals->len;
   if (refusals->len > 0)
@@ -179,7 +179,7 @@
 }
 
 static gboolean
-weights_in_force (gpointer ctx)
+weights_applied (gpointer ctx)
 {
   Run *run = ctx;
 
@@ -210,13 +210,13 @@
       exchange_free (exchange);
       g_free (body);
     }
-  harness_wait (run->harness, weights_in_force, run, "the weights to be in force");
+  harness_wait (run->harness, weights_applied, run, "the weights to be in force");
 }
 
 /* Faults. */
 
 void
-strike_fail_all (void *ctx)
+inject_fail_all (void *ctx)
 {
   Run *run = ctx;
 
@@ -224,7 +224,7 @@
 }
 
 void
-strike_straggler (void *ctx)
+inject_straggler (void *ctx)
 {
   Run *run = ctx;
 
@@ -232,7 +232,7 @@
 }
 
 void
-strike_store (void *ctx)
+inject_store_hang (void *ctx)
 {
   Run *run = ctx;
 
@@ -240,7 +240,7 @@
 }
 
 void
-strike_zone (void *ctx)
+inject_zone_kill (void *ctx)
 {
   Run *run = ctx;
 
@@ -250,7 +250,7 @@
 }
 
 void
-strike_cancels (void *ctx)
+inject_cancels (void *ctx)
 {
   Run *run = ctx;
 
--- a/tools/bench_run.h
+++ b/tools/bench_run.h
@@ -16,10 +16,10 @@
   GPtrArray *jobs;      /* TraceJob */
   Exchange **exchanges; /* one for each job */
   guint next;
-  gint64 begun_us;
+  gint64 start_us;
   double duration_ms;
-  const char *deadline;       /* member of the job's body, or "" */
-  void (*strike) (void *run); /* at a third of the trace; NULL for none */
+  const char *deadline;             /* member of the job's body, or "" */
+  void (*inject_fault) (void *run); /* at a third of the trace; NULL for none */
 } Run;
 
 typedef struct
@@ -38,8 +38,8 @@
 /** run_drive - submit the trace at its times and wait for every answer. */
 void run_drive (Run *run);
 
-/** run_judge - sort the answers; fills the jobs' response times. */
-Outcomes run_judge (Run *run);
+/** run_classify - sort the answers; fills the jobs' response times. */
+Outcomes run_classify (Run *run);
 
 /** run_refused - whether the job was refused as overload, before anything of it ran. */
 gboolean run_refused (const Run *run, guint job);
@@ -51,8 +51,8 @@
 void run_set_weights (Run *run);
 
 /* Faults. */
-void strike_fail_all (void *run);
-void strike_straggler (void *run);
-void strike_store (void *run);
-void strike_zone (void *run);
-void strike_cancels (void *run);
+void inject_fail_all (void *run);
+void inject_straggler (void *run);
+void inject_store_hang (void *run);
+void inject_zone_kill (void *run);
+void inject_cancels (void *run);
--- a/tools/bench_trace.c
+++ b/tools/bench_trace.c
@@ -2,11 +2,11 @@
 
 #include <math.h>
 
-#define RUN_LEAST_MS 50.0
-#define RUN_MOST_MS 1000.0
+#define MIN_RUN_MS 50.0
+#define MAX_RUN_MS 1000.0
 #define LONG_SHARE 0.02
-#define LONG_LEAST_MS 2000
-#define LONG_MOST_MS 4000
+#define MIN_LONG_MS 2000
+#define MAX_LONG_MS 4000
 #define MEAN_SAMPLES 4000
 
 static void
@@ -35,9 +35,9 @@
 draw_run_ms (GRand *random)
 {
   if (g_rand_double (random) < LONG_SHARE)
-    return (guint)g_rand_int_range (random, LONG_LEAST_MS, LONG_MOST_MS);
-  return (guint)(RUN_LEAST_MS
-                 * exp (g_rand_double (random) * log (RUN_MOST_MS / RUN_LEAST_MS)));
+    return (guint)g_rand_int_range (random, MIN_LONG_MS, MAX_LONG_MS);
+  return (guint)(MIN_RUN_MS
+                 * exp (g_rand_double (random) * log (MAX_RUN_MS / MIN_RUN_MS)));
 }
 
 static double
