--- a/tests/load_mixes.c
+++ b/tests/load_mixes.c
@@ -4,8 +4,7 @@
 #define SERVERS 11
 
 const LoadMix load_mixes[] = {
-  /* Wide urgent jobs, long jobs and many narrow ones; a task takes a tenth of a server.
-   */
+  /* Wide urgent jobs, long jobs, many narrow ones; a task takes a tenth of a server. */
   { "three-kinds",
     { { "urgent", 0, 8, 32, 60, 1600, 34.4, 0.0291 },
       { "long", 2, 4, 16, 900, 1600, 6.25, 0.16 },
--- a/tests/load_mixes.h
+++ b/tests/load_mixes.h
@@ -16,7 +16,6 @@
 extern const LoadMix load_mixes[];
 extern const guint load_n_mixes;
 
-/** load_init_from_mix - scale the mix to @load, a fraction of the servers' capacity.
- */
+/** load_init_from_mix - scale the mix to @load, a fraction of the servers' capacity. */
 LoadInit
 load_init_from_mix (const LoadMix *mix, double load, guint entries, guint32 seed);
--- a/tests/load_plan.h
+++ b/tests/load_plan.h
@@ -111,8 +111,8 @@
 /** load_account - fill @result from the outcome of @jobs; @result->idle stays. */
 void load_account (const LoadInit *init, GPtrArray *jobs, LoadResult *result);
 
-/* Callers wait this long; a late result has value up to this multiple of the objective.
- */
+/* How long a caller waits, and up to which multiple of the objective a late result has
+ * value. */
 #define LOAD_DEADLINE_MS 4300
 #define LOAD_LATE_FACTOR 3
 /* The objective: the longest task's run time x LOAD_STRETCH + LOAD_TARGET_MS. */
--- a/tests/load_replay_parts.h
+++ b/tests/load_replay_parts.h
@@ -54,8 +54,7 @@
   gboolean *state_scheduled; /* by entry */
 } Server;
 
-/* The link between an entry and a server's agent; user data of the entry's LeasedServer.
- */
+/* Link of an entry to a server's agent; user data of the entry's LeasedServer. */
 typedef struct
 {
   Server *server;
--- a/tests/load_table.c
+++ b/tests/load_table.c
@@ -15,15 +15,14 @@
 static char *option_mix = NULL;
 static gboolean option_brief = FALSE;
 
-static const GOptionEntry options[]
-    = { { "seeds", 's', 0, G_OPTION_ARG_INT, &option_seeds, "Seeds per row", "N" },
-        { "entries", 'e', 0, G_OPTION_ARG_INT, &option_entries,
-          "Only this number of entries", "N" },
-        { "load", 'l', 0, G_OPTION_ARG_DOUBLE, &option_load, "Only this load", "PART" },
-        { "mix", 'm', 0, G_OPTION_ARG_STRING, &option_mix, "Only this mix", "NAME" },
-        { "brief", 'b', 0, G_OPTION_ARG_NONE, &option_brief, "Means of all rows only",
-          NULL },
-        { NULL } };
+static const GOptionEntry options[] = {
+  { "seeds", 's', 0, G_OPTION_ARG_INT, &option_seeds, "Seeds per row", "N" },
+  { "entries", 'e', 0, G_OPTION_ARG_INT, &option_entries, "Only with N entries", "N" },
+  { "load", 'l', 0, G_OPTION_ARG_DOUBLE, &option_load, "Only this load", "PART" },
+  { "mix", 'm', 0, G_OPTION_ARG_STRING, &option_mix, "Only this mix", "NAME" },
+  { "brief", 'b', 0, G_OPTION_ARG_NONE, &option_brief, "Means of all rows only", NULL },
+  { NULL }
+};
 
 typedef struct
 {
--- a/tests/test-load-service.c
+++ b/tests/test-load-service.c
@@ -102,12 +102,14 @@
  * - long jobs of one entry that run while urgent ones of another wait, when free capacity
  *   is offered to the longest queue, whatever waits there;
  * - jobs that wait without use, when only infeasible ones are refused;
- * - in short peaks, refusals of jobs that would wait only some ten ms, when refusal
- * depends on a fixed fraction of the objective, whatever arrives, and on what the entry
- * happens to have placed. With that fixed fraction the cases served, in the order of the
- * table, 0.999, 0.940, 0.829, 0.815, 0.785, 0.730 and 0.912, and earned, from the second
- * on, 0.930, 0.802, 0.770, 0.761, 0.661 and 0.889: in sustained overload, jobs served
- * late take capacity from jobs that would be on time. */
+ * - in short peaks, refusals of jobs that would wait only some ten ms, when they follow
+ *   from a fixed fraction of the objective, whatever arrives, and from what the entry
+ *   happens to have placed.
+ *
+ * With that fixed fraction the cases served, in the order of the table, 0.999, 0.940,
+ * 0.829, 0.815, 0.785, 0.730 and 0.912, and earned, from the second on, 0.930, 0.802,
+ * 0.770, 0.761, 0.661 and 0.889: in sustained overload, jobs served late take capacity
+ * from jobs that would be on time. */
 static const LoadCase cases[] = {
   { "light", 0.6, 4, 0, 0.994, 0.994, 0.994, 0.994, 0.003, 0.002 },
   { "busy", 0.9, 4, 0, 0.920, 0.958, 0.895, 0.804, 0.011, 0.004 },
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -66,6 +66,7 @@
  * - long jobs of one entry that run while urgent ones of another wait, when free capacity
  *   is offered to the longest queue, whatever waits there;
  * - jobs that wait without use, when only infeasible ones are refused.
+ *
  * With these faults the cases earned, in the order of the table, 0.999, 0.887, 0.746,
  * 0.617, 0.503, 0.490 and 0.862; the largest tenth of urgent jobs 0.15 in "overload". */
 static const LoadCase cases[] = {
--- a/tools/bench.c
+++ b/tools/bench.c
@@ -1,5 +1,6 @@
 /* Benchmark: real processes on loopback under open-loop load, compared with schedules
- * computed from the same trace and, with --against, with an earlier version. */
+ * computed from the same trace and, with --against, with an earlier version in the same
+ * run. */
 #include "bench_cost.h"
 #include "bench_report.h"
 
@@ -34,9 +35,7 @@
   Bounds bounds;
 } Scenario;
 
-/* The bounds are tight, to catch regressions; docs/DECISIONS.md has the goals beside
- * them.
- */
+/* Tight bounds, to catch regressions; docs/DECISIONS.md has the goals beside them. */
 static const Scenario scenarios[] = {
   { .name = "load-0.5",
     .load = 0.5,
--- a/tools/bench_report.h
+++ b/tools/bench_report.h
@@ -1,7 +1,6 @@
 #pragma once
-/* Prints the figures of a finished run, one line each: "scenario/figure value bound ok"
- * or
- * "... MISSED"; the bound is "-" if there is none. */
+/* Prints the figures of a finished run, one line each: "scenario/figure value bound ok",
+ * or "... MISSED"; the bound is "-" if there is none. */
 #include "bench_counts.h"
 #include "bench_run.h"
 
@@ -13,7 +12,7 @@
   guint missed; /* figures beyond their bounds, over all scenarios */
 } Report;
 
-/* Upper bounds; NO_BOUND: any value. */
+/* Upper bounds; 0 allows none at all, NO_BOUND any value. */
 typedef struct
 {
   double mean;      /* mean slowdown relative to the central queue's */
@@ -39,8 +38,7 @@
 
 void report_line (Report *report, const char *figure, double value, double bound);
 
-/** report_run - print all figures of a run. @deadline_ms: the deadline of
- * the jobs. */
+/** report_run - print all figures of a run. @deadline_ms: the jobs'. */
 Result report_run (Report *report,
                    Run *run,
                    const Counts *before,
--- a/tools/bench_trace.h
+++ b/tools/bench_trace.h
@@ -1,6 +1,5 @@
 #pragma once
-/* Seeded job traces, and the reference schedules that a dispatcher with full knowledge
- * would make of them. */
+/* Seeded job traces, and reference schedules computed with full knowledge of them. */
 #include <glib.h>
 
 typedef struct
