--- a/tests/lease_server.c
+++ b/tests/lease_server.c
@@ -282,7 +282,7 @@
 }
 
 void
-lease_server_answer (LeaseServer *server, gint64 now_ms)
+lease_server_reply (LeaseServer *server, gint64 now_ms)
 {
   for (guint i = 0; i < server->orders->len; i++)
     {
@@ -314,7 +314,7 @@
 }
 
 void
-lease_server_drop_answers (LeaseServer *server)
+lease_server_drop_calls (LeaseServer *server)
 {
   for (guint i = 0; i < server->orders->len; i++)
     {
@@ -374,14 +374,14 @@
 const ServerCalls lease_server_calls = { start, stop, hold };
 
 void
-lease_server_late_orders (LeaseServer *server, gint64 until, double share)
+lease_server_delay_calls (LeaseServer *server, gint64 until, double share)
 {
   server->late_until = until;
   server->late_share = share;
 }
 
 void
-lease_server_silence (LeaseServer *server, gint64 until)
+lease_server_stop_responding (LeaseServer *server, gint64 until)
 {
   server->silent_until = until;
 }
--- a/tests/lease_server.h
+++ b/tests/lease_server.h
@@ -21,15 +21,15 @@
 /** lease_server_step - let tasks end and leases lapse, carry out late orders. */
 void lease_server_step (LeaseServer *server);
 
-/** lease_server_answer - hand out the answers that are due. @now_ms: the caller's clock.
+/** lease_server_reply - hand out the answers that are due. @now_ms: the caller's clock.
  */
-void lease_server_answer (LeaseServer *server, gint64 now_ms);
+void lease_server_reply (LeaseServer *server, gint64 now_ms);
 
-/** lease_server_drop_answers - its caller is gone: nothing is answered any more. */
-void lease_server_drop_answers (LeaseServer *server);
+/** lease_server_drop_calls - its caller is gone: nothing is answered any more. */
+void lease_server_drop_calls (LeaseServer *server);
 
-void lease_server_late_orders (LeaseServer *server, gint64 until, double share);
-void lease_server_silence (LeaseServer *server, gint64 until);
+void lease_server_delay_calls (LeaseServer *server, gint64 until, double share);
+void lease_server_stop_responding (LeaseServer *server, gint64 until);
 void lease_server_hang (LeaseServer *server, gint64 until);
 void lease_server_restart (LeaseServer *server);
 
--- a/tests/lease_world.c
+++ b/tests/lease_sim.c
@@ -1,4 +1,4 @@
-#include "lease_world.h"
+#include "lease_sim.h"
 #include "dispatcher.h"
 #include "lease_server.h"
 #include "runner.h"
@@ -30,7 +30,7 @@
   Dispatcher *dispatcher;
   Runner *runner;
   LeaseServer *server;
-  LeaseWorld *world;
+  LeaseSim *world;
 } Node;
 
 typedef struct
@@ -91,12 +91,12 @@
   gboolean only_refusals;
   Try tries[TRIES_MOST];
   guint n_tries;
-  LeaseWorld *world;
+  LeaseSim *world;
 };
 
-struct LeaseWorld
+struct LeaseSim
 {
-  LeaseWorldInit init;
+  LeaseSimInit init;
   GRand *rand;
   gint64 now;
   guint64 next_life;
@@ -106,10 +106,10 @@
   WorldJob *jobs;
   GString *story;
   char *broken;
-  LeaseWorldCounts counts;
+  LeaseSimCounts counts;
 };
 
-static void G_GNUC_PRINTF (2, 3) tell (LeaseWorld *world, const char *format, ...)
+static void G_GNUC_PRINTF (2, 3) tell (LeaseSim *world, const char *format, ...)
 {
   va_list args;
 
@@ -120,7 +120,7 @@
   va_end (args);
 }
 
-static void G_GNUC_PRINTF (2, 3) breaks (LeaseWorld *world, const char *format, ...)
+static void G_GNUC_PRINTF (2, 3) breaks (LeaseSim *world, const char *format, ...)
 {
   va_list args;
 
@@ -133,7 +133,7 @@
 }
 
 static gboolean
-chance (LeaseWorld *world, double probability)
+chance (LeaseSim *world, double probability)
 {
   return g_rand_double (world->rand) < probability;
 }
@@ -151,7 +151,7 @@
 }
 
 static Wire *
-wire_of (LeaseWorld *world, const Node *entry, const Node *agent)
+wire_of (LeaseSim *world, const Node *entry, const Node *agent)
 {
   return &world->wires[entry->index * world->init.agents + agent->index];
 }
@@ -263,7 +263,7 @@
 static Wire *
 wire_to_entry (Node *agent, guint64 incarnation)
 {
-  LeaseWorld *world = agent->world;
+  LeaseSim *world = agent->world;
 
   for (guint i = 0; i < world->init.entries; i++)
     {
@@ -318,7 +318,7 @@
 on_changed (gpointer ctx)
 {
   Node *agent = ctx;
-  LeaseWorld *world = agent->world;
+  LeaseSim *world = agent->world;
 
   for (guint i = 0; i < world->init.entries; i++)
     {
@@ -399,7 +399,7 @@
 static void
 wire_connect (Wire *wire)
 {
-  LeaseWorld *world = wire->entry->world;
+  LeaseSim *world = wire->entry->world;
   char name[16];
 
   if (wire->life != 0 || world->now < wire->redial || !runs (wire->entry)
@@ -424,7 +424,7 @@
 static void
 post (Wire *wire, Message *message, gboolean to_agent)
 {
-  LeaseWorld *world = wire->entry->world;
+  LeaseSim *world = wire->entry->world;
   gint64 cut = to_agent ? wire->cut_to_agent_until : wire->cut_to_entry_until;
 
   message->to_agent = to_agent;
@@ -467,7 +467,7 @@
 static void
 flush_entry (Wire *wire)
 {
-  LeaseWorld *world = wire->entry->world;
+  LeaseSim *world = wire->entry->world;
   Message *message;
 
   if (wire->life == 0 || !runs (wire->entry))
@@ -487,7 +487,7 @@
 static void
 flush_agent (Wire *wire)
 {
-  LeaseWorld *world = wire->entry->world;
+  LeaseSim *world = wire->entry->world;
   Message *message;
 
   if (wire->life == 0 || !runs (wire->agent))
@@ -546,7 +546,7 @@
 static void
 deliver (Wire *wire)
 {
-  LeaseWorld *world = wire->entry->world;
+  LeaseSim *world = wire->entry->world;
   GList *item = wire->messages->head;
 
   while (item != NULL && wire->life != 0)
@@ -594,7 +594,7 @@
 /* Callers. */
 
 static WorldJob *
-find_job (LeaseWorld *world, const char *id)
+find_job (LeaseSim *world, const char *id)
 {
   for (guint i = 0; i < world->init.jobs; i++)
     if (strcmp (world->jobs[i].id, id) == 0)
@@ -617,7 +617,7 @@
 {
   Try *try = ctx;
   WorldJob *job = try->owner;
-  LeaseWorld *world = job->world;
+  LeaseSim *world = job->world;
 
   try->job = NULL;
   if (try->abandoned || job->over)
@@ -651,7 +651,7 @@
 static void
 submit (WorldJob *job, Node *entry)
 {
-  LeaseWorld *world = job->world;
+  LeaseSim *world = job->world;
   gint64 now = clock_of (entry);
   LeasedSpec spec = { .id = job->id,
                       .queue = "q",
@@ -709,7 +709,7 @@
 static void
 follow_job (WorldJob *job)
 {
-  LeaseWorld *world = job->world;
+  LeaseSim *world = job->world;
   Node *entry;
 
   for (guint i = 0; i < job->n_tries; i++)
@@ -728,7 +728,7 @@
 /* Faults. */
 
 static void
-kill_node (LeaseWorld *world, Node *node, gint64 down_ms)
+kill_node (LeaseSim *world, Node *node, gint64 down_ms)
 {
   if (node->down_until != 0)
     return;
@@ -742,12 +742,12 @@
       return;
     }
   runner_close (node->runner);
-  lease_server_drop_answers (node->server);
+  lease_server_drop_calls (node->server);
   g_clear_pointer (&node->runner, runner_free);
 }
 
 static void
-boot_if_due (LeaseWorld *world, Node *node)
+boot_if_due (LeaseSim *world, Node *node)
 {
   if (node->down_until == 0 || world->now < node->down_until)
     return;
@@ -761,7 +761,7 @@
 }
 
 static void
-cut_wire (LeaseWorld *world, Wire *wire, gint64 length)
+cut_wire (LeaseSim *world, Wire *wire, gint64 length)
 {
   guint way = (guint)g_rand_int_range (world->rand, 0, 3);
 
@@ -772,7 +772,7 @@
 }
 
 static void
-strike (LeaseWorld *world)
+strike (LeaseSim *world)
 {
   static const char *const names[]
       = { "kill entry", "kill agent",  "freeze entry",  "freeze agent",    "cut",
@@ -808,10 +808,10 @@
       wire_break (wire_of (world, entry, agent));
       break;
     case 6:
-      lease_server_late_orders (agent->server, world->now + length, 0.3);
+      lease_server_delay_calls (agent->server, world->now + length, 0.3);
       break;
     case 7:
-      lease_server_silence (agent->server, world->now + length);
+      lease_server_stop_responding (agent->server, world->now + length);
       break;
     case 8:
       lease_server_restart (agent->server);
@@ -829,7 +829,7 @@
 static void
 on_started (const RunKey *key, gpointer ctx)
 {
-  LeaseWorld *world = ctx;
+  LeaseSim *world = ctx;
   WorldJob *job = find_job (world, key->job);
 
   world->counts.starts++;
@@ -838,7 +838,7 @@
 }
 
 static void
-check_promises (LeaseWorld *world)
+check_promises (LeaseSim *world)
 {
   GHashTable *running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
@@ -861,17 +861,17 @@
 }
 
 static void
-check_end (LeaseWorld *world)
+check_end (LeaseSim *world)
 {
   for (guint i = 0; i < world->init.jobs; i++)
     if (!world->jobs[i].over)
       breaks (world, "%s never ended", world->jobs[i].id);
 }
 
-LeaseWorld *
-lease_world_new (const LeaseWorldInit *init)
+LeaseSim *
+lease_sim_new (const LeaseSimInit *init)
 {
-  LeaseWorld *world = g_new0 (LeaseWorld, 1);
+  LeaseSim *world = g_new0 (LeaseSim, 1);
 
   world->init = *init;
   world->rand = g_rand_new_with_seed (init->seed);
@@ -919,7 +919,7 @@
 }
 
 void
-lease_world_free (LeaseWorld *world)
+lease_sim_free (LeaseSim *world)
 {
   for (guint i = 0; i < world->init.entries * world->init.agents; i++)
     {
@@ -932,7 +932,7 @@
     {
       if (world->agents[i].runner != NULL)
         runner_close (world->agents[i].runner);
-      lease_server_drop_answers (world->agents[i].server);
+      lease_server_drop_calls (world->agents[i].server);
       runner_free (world->agents[i].runner);
       lease_server_free (world->agents[i].server);
     }
@@ -947,7 +947,7 @@
 }
 
 static void
-step_node (LeaseWorld *world, Node *node)
+step_node (LeaseSim *world, Node *node)
 {
   boot_if_due (world, node);
   if (!runs (node))
@@ -961,13 +961,13 @@
     }
   if (world->now % 1500 == 0)
     tell_facts (node);
-  lease_server_answer (node->server, clock_of (node));
+  lease_server_reply (node->server, clock_of (node));
   if (world->now % RUNNER_TICK_MS == 0)
     runner_tick (node->runner, clock_of (node));
 }
 
 char *
-lease_world_run (LeaseWorld *world)
+lease_sim_run (LeaseSim *world)
 {
   guint n_wires = world->init.entries * world->init.agents;
 
@@ -1003,13 +1003,13 @@
 }
 
 const char *
-lease_world_story (const LeaseWorld *world)
+lease_sim_trace (const LeaseSim *world)
 {
   return world->story->str;
 }
 
-const LeaseWorldCounts *
-lease_world_counts (const LeaseWorld *world)
+const LeaseSimCounts *
+lease_sim_counts (const LeaseSim *world)
 {
   return &world->counts;
 }
--- a/tests/lease_world.h
+++ b/tests/lease_sim.h
@@ -5,7 +5,7 @@
  * seed. */
 #include <glib.h>
 
-typedef struct LeaseWorld LeaseWorld;
+typedef struct LeaseSim LeaseSim;
 
 typedef struct
 {
@@ -15,19 +15,19 @@
   guint jobs;
   gboolean faults;
   gboolean quiet; /* print nothing but the fault */
-} LeaseWorldInit;
+} LeaseSimInit;
 
-LeaseWorld *lease_world_new (const LeaseWorldInit *init);
-void lease_world_free (LeaseWorld *world);
+LeaseSim *lease_sim_new (const LeaseSimInit *init);
+void lease_sim_free (LeaseSim *world);
 
 /**
- * lease_world_run - play it to its end.
+ * lease_sim_run - play it to its end.
  * Return: NULL, or the first promise that was broken, as text; free with g_free.
  */
-char *lease_world_run (LeaseWorld *world);
+char *lease_sim_run (LeaseSim *world);
 
-/** lease_world_story - what happened, for the report of a failure. */
-const char *lease_world_story (const LeaseWorld *world);
+/** lease_sim_trace - what happened, for the report of a failure. */
+const char *lease_sim_trace (const LeaseSim *world);
 
 typedef struct
 {
@@ -37,6 +37,6 @@
   guint given_up;
   guint starts;
   guint faults;
-} LeaseWorldCounts;
+} LeaseSimCounts;
 
-const LeaseWorldCounts *lease_world_counts (const LeaseWorld *world);
+const LeaseSimCounts *lease_sim_counts (const LeaseSim *world);
--- a/tests/soak_faults.c
+++ b/tests/soak_faults.c
@@ -153,7 +153,7 @@
 }
 
 void
-soak_note_fenced (Soak *soak)
+soak_note_closed_zone (Soak *soak)
 {
   gboolean calm = soak->closed && store_works (soak);
   FencedSpan span = { soak->calm_ms + FENCED_MS, clock_now_ms () };
@@ -174,12 +174,12 @@
   if (!store_works (soak))
     return;
   soak->closed = FALSE;
-  soak_note_fenced (soak);
+  soak_note_closed_zone (soak);
   platform_open_zone (&soak->scene, CLOSED_ZONE);
 }
 
 void
-soak_check_fence (Soak *soak)
+soak_check_closed_zone (Soak *soak)
 {
   for (guint i = 0; i < soak->fenced->len; i++)
     {
@@ -250,7 +250,7 @@
 }
 
 void
-soak_strike (Soak *soak)
+soak_inject_fault (Soak *soak)
 {
   const Fault *fault = &faults[g_rand_int_range (soak->random, 0, G_N_ELEMENTS (faults))];
   guint target = (guint)g_rand_int_range (soak->random, 0,
@@ -268,7 +268,7 @@
 }
 
 void
-soak_mend (Soak *soak, gboolean all)
+soak_end_faults (Soak *soak, gboolean all)
 {
   for (guint place = 0; place < PLACES; place++)
     for (guint target = 0; target < PLATFORM_MAX; target++)
--- a/tests/soak_parts.h
+++ b/tests/soak_parts.h
@@ -58,17 +58,17 @@
   GArray *fenced;  /* of FencedSpan */
 };
 
-/** soak_strike - begin a fault that is drawn. */
-void soak_strike (Soak *soak);
+/** soak_inject_fault - begin a fault that is drawn. */
+void soak_inject_fault (Soak *soak);
 
-/** soak_mend - end the faults whose time is over, or all. */
-void soak_mend (Soak *soak, gboolean all);
+/** soak_end_faults - end the faults whose time is over, or all. */
+void soak_end_faults (Soak *soak, gboolean all);
 
-/** soak_note_fenced - call it with each step: note when the zone is closed. */
-void soak_note_fenced (Soak *soak);
+/** soak_note_closed_zone - call it with each step: note when the zone is closed. */
+void soak_note_closed_zone (Soak *soak);
 
 /** soak_open_zone - at the end, unless it is open. */
 void soak_open_zone (Soak *soak);
 
-/** soak_check_fence - nothing started in the closed zone. */
-void soak_check_fence (Soak *soak);
+/** soak_check_closed_zone - nothing started in the closed zone. */
+void soak_check_closed_zone (Soak *soak);
--- a/tests/test-explorer.c
+++ b/tests/test-explorer.c
@@ -4,7 +4,7 @@
  * true; every job ends.
  *
  * By hand: test-explorer --world N (the one of that seed, with its story), --worlds N. */
-#include "lease_world.h"
+#include "lease_sim.h"
 
 #define WORLDS_IN_CI 400
 #define FIRST_SEED 20261203
@@ -15,24 +15,24 @@
 static gboolean
 play (guint32 seed, gboolean faults, gboolean with_story)
 {
-  LeaseWorldInit init
+  LeaseSimInit init
       = { .seed = seed, .entries = 2, .agents = 3, .jobs = 40, .faults = faults };
-  LeaseWorld *world = lease_world_new (&init);
-  char *broken = lease_world_run (world);
-  const LeaseWorldCounts *counts = lease_world_counts (world);
+  LeaseSim *world = lease_sim_new (&init);
+  char *broken = lease_sim_run (world);
+  const LeaseSimCounts *counts = lease_sim_counts (world);
   gboolean ok = broken == NULL;
 
   if (!ok || with_story)
     g_test_message ("seed %u: %s\n%s", seed, ok ? "kept" : broken,
-                    lease_world_story (world));
+                    lease_sim_trace (world));
   if (with_story)
     g_print ("%s# completed %u failed %u refused %u given up %u starts %u faults %u\n",
-             lease_world_story (world), counts->completed, counts->failed,
+             lease_sim_trace (world), counts->completed, counts->failed,
              counts->refused, counts->given_up, counts->starts, counts->faults);
   if (!faults)
     g_assert_cmpuint (counts->completed + counts->failed + counts->refused, ==, 40);
   g_free (broken);
-  lease_world_free (world);
+  lease_sim_free (world);
   return ok;
 }
 
--- a/tests/test-soak.c
+++ b/tests/test-soak.c
@@ -247,12 +247,12 @@
         }
       if (clock_now_ms () >= fault_ms)
         {
-          soak_strike (soak);
+          soak_inject_fault (soak);
           fault_ms
               = clock_now_ms () + g_rand_int_range (soak->random, 1, 2 * FAULT_EVERY_MS);
         }
-      soak_note_fenced (soak);
-      soak_mend (soak, FALSE);
+      soak_note_closed_zone (soak);
+      soak_end_faults (soak, FALSE);
       follow_requests (soak);
       harness_run_ms (soak->scene.harness, STEP_MS);
     }
@@ -275,14 +275,14 @@
   soak.done = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   soak.fenced = g_array_new (FALSE, FALSE, sizeof (FencedSpan));
   play (&soak, seconds);
-  soak_note_fenced (&soak);
-  soak_mend (&soak, TRUE);
+  soak_note_closed_zone (&soak);
+  soak_end_faults (&soak, TRUE);
   soak_open_zone (&soak);
   check_configuration (&soak.scene);
   harness_wait (soak.scene.harness, all_are_answered, &soak, "answers");
   harness_wait (soak.scene.harness, is_calm, &soak.scene, "service as before");
   check_all (&soak);
-  soak_check_fence (&soak);
+  soak_check_closed_zone (&soak);
   g_array_unref (soak.fenced);
   g_ptr_array_unref (soak.requests);
   g_hash_table_unref (soak.starts);
