--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -1,6 +1,5 @@
-/* libFuzzer targets: hostile bytes into the frame decoder, the submission parser, the
- * operators' language and the platform's decoders. FUZZ_TARGET names the one that is
- * built. */
+/* libFuzzer targets: arbitrary bytes to the frame decoder (FUZZ_TARGET 1), the submission
+ * parser (2), the operators' command parser (3) and the platform's decoders (4). */
 #include "../platform/job_body.h"
 #include "../platform/operator_config.h"
 #include "../platform/server_rows.h"
--- a/tests/lease_server.c
+++ b/tests/lease_server.c
@@ -2,42 +2,42 @@
 
 #include <string.h>
 
-#define CPU_EACH 1000
-#define STOP_MS 50
-#define LATE_LEAST_MS 2000
-#define LATE_MOST_MS 8000
-#define FAILS 0.02
+#define TASK_CPU_MILLI 1000
+#define MAX_STOP_MS 50
+#define MIN_DELAY_MS 2000
+#define MAX_DELAY_MS 8000
+#define FAILURE_RATE 0.02
 
 typedef struct
 {
   RunKey key;
-  gint64 ends; /* server's clock; moved on while it hangs */
+  gint64 ends; /* server's clock; put off while it hangs */
   gint64 length;
   gint64 stops_at; /* 0: not being stopped */
 } Task;
 
 typedef enum
 {
-  ORDER_START,
-  ORDER_STOP,
-  ORDER_HOLD,
-} OrderKind;
+  KIND_START,
+  KIND_STOP,
+  KIND_HOLD,
+} CallKind;
 
-/* A call on its way, or waiting for its answer. */
+/* A call in transit, or one whose reply is pending. */
 typedef struct
 {
-  OrderKind kind;
+  CallKind kind;
   ServerCall call;
   char instance[16];
   RunKey key;
   guint64 ends_seen;
-  gint64 due;       /* when it is carried out */
-  gint64 answer_by; /* of a hold that waits; 0: answered at once */
+  gint64 due;        /* when it is executed */
+  gint64 hold_until; /* latest reply to a long poll; 0: at once */
   gint64 timeout;
-  gboolean lost; /* no answer leaves the server */
-  gboolean answered;
-  gboolean carried_out;
-} Order;
+  gboolean lost; /* no reply is sent */
+  gboolean replied;
+  gboolean executed;
+} PendingCall;
 
 struct LeaseServer
 {
@@ -45,22 +45,22 @@
   const gint64 *now;
   void (*started) (const RunKey *key, gpointer ctx);
   gpointer ctx;
-  guint life;
+  guint instance_count;
   char instance[16];
   gint64 clock_start;
   guint64 sequence;
   guint64 token;
   gint64 lease;
-  guint64 ends;
-  GArray *tasks; /* of Task */
-  GArray *ended; /* of EndedRun */
-  GArray *dead;  /* of RunKey: stopped or ended here */
-  GPtrArray *orders;
-  gint64 late_until;
-  double late_share;
-  gint64 silent_until;
+  guint64 last_end;   /* number of the last EndedRun */
+  GArray *tasks;      /* of Task */
+  GArray *ended;      /* of EndedRun */
+  GArray *superseded; /* of RunKey: stopped or ended, may not start again */
+  GPtrArray *calls;
+  gint64 delay_until;
+  double delay_share;
+  gint64 unresponsive_until;
   gint64 hang_until;
-  gint64 caller_offset;
+  gint64 agent_offset;
 };
 
 static gint64
@@ -70,18 +70,19 @@
 }
 
 static void
-begin_life (LeaseServer *server)
+begin_instance (LeaseServer *server)
 {
-  server->life++;
-  g_snprintf (server->instance, sizeof server->instance, "life-%u", server->life);
+  server->instance_count++;
+  g_snprintf (server->instance, sizeof server->instance, "instance-%u",
+              server->instance_count);
   server->clock_start = *server->now;
   server->sequence = 0;
   server->token = 0;
   server->lease = 0;
-  server->ends = 0;
+  server->last_end = 0;
   g_array_set_size (server->tasks, 0);
   g_array_set_size (server->ended, 0);
-  g_array_set_size (server->dead, 0);
+  g_array_set_size (server->superseded, 0);
 }
 
 LeaseServer *
@@ -98,9 +99,9 @@
   server->ctx = ctx;
   server->tasks = g_array_new (FALSE, TRUE, sizeof (Task));
   server->ended = g_array_new (FALSE, TRUE, sizeof (EndedRun));
-  server->dead = g_array_new (FALSE, TRUE, sizeof (RunKey));
-  server->orders = g_ptr_array_new_with_free_func (g_free);
-  begin_life (server);
+  server->superseded = g_array_new (FALSE, TRUE, sizeof (RunKey));
+  server->calls = g_ptr_array_new_with_free_func (g_free);
+  begin_instance (server);
   return server;
 }
 
@@ -109,15 +110,15 @@
 {
   g_array_unref (server->tasks);
   g_array_unref (server->ended);
-  g_array_unref (server->dead);
-  g_ptr_array_unref (server->orders);
+  g_array_unref (server->superseded);
+  g_ptr_array_unref (server->calls);
   g_free (server);
 }
 
 void
-lease_server_set_clock (LeaseServer *server, gint64 caller_offset)
+lease_server_set_clock (LeaseServer *server, gint64 agent_offset)
 {
-  server->caller_offset = caller_offset;
+  server->agent_offset = agent_offset;
 }
 
 void
@@ -132,22 +133,22 @@
 end_task (LeaseServer *server, guint i, RunEnd how)
 {
   Task *task = &g_array_index (server->tasks, Task, i);
-  EndedRun ended = { ++server->ends, task->key, how };
+  EndedRun ended = { ++server->last_end, task->key, how };
 
-  g_array_append_val (server->dead, task->key);
+  g_array_append_val (server->superseded, task->key);
   g_array_append_val (server->ended, ended);
   g_array_remove_index_fast (server->tasks, i);
 }
 
 static gboolean
-is_dead (const LeaseServer *server, const RunKey *key)
+is_superseded (const LeaseServer *server, const RunKey *key)
 {
-  for (guint i = 0; i < server->dead->len; i++)
+  for (guint i = 0; i < server->superseded->len; i++)
     {
-      const RunKey *dead = &g_array_index (server->dead, RunKey, i);
+      const RunKey *superseded = &g_array_index (server->superseded, RunKey, i);
 
-      if (strcmp (dead->job, key->job) == 0 && dead->index == key->index
-          && key->run <= dead->run)
+      if (strcmp (superseded->job, key->job) == 0 && superseded->index == key->index
+          && key->run <= superseded->run)
         return TRUE;
     }
   return FALSE;
@@ -163,49 +164,49 @@
 }
 
 static CallEnd
-carry_out_start (LeaseServer *server, const Order *order)
+execute_start (LeaseServer *server, const PendingCall *pending)
 {
-  Task task = { .key = order->key };
+  Task task = { .key = pending->key };
 
-  if (find_task (server, &order->key) >= 0)
+  if (find_task (server, &pending->key) >= 0)
     return CALL_DONE;
-  if (is_dead (server, &order->key))
+  if (is_superseded (server, &pending->key))
     return CALL_SUPERSEDED;
   if (server->lease <= server_ms (server))
     return CALL_LATE;
   task.length = g_rand_int_range (server->rand, 50, 800);
   task.ends = server_ms (server) + task.length;
   g_array_append_val (server->tasks, task);
-  server->started (&order->key, server->ctx);
+  server->started (&pending->key, server->ctx);
   return CALL_DONE;
 }
 
 static CallEnd
-carry_out (LeaseServer *server, const Order *order)
+execute (LeaseServer *server, const PendingCall *pending)
 {
   int i;
 
-  if (strcmp (order->instance, server->instance) != 0)
+  if (strcmp (pending->instance, server->instance) != 0)
     return CALL_OTHER_INSTANCE;
-  if (order->call.token < server->token)
+  if (pending->call.token < server->token)
     return CALL_FENCED;
-  server->token = order->call.token;
-  server->lease = MAX (server->lease, order->call.lease_until);
-  switch (order->kind)
+  server->token = pending->call.token;
+  server->lease = MAX (server->lease, pending->call.lease_until);
+  switch (pending->kind)
     {
-    case ORDER_START:
-      return carry_out_start (server, order);
-    case ORDER_STOP:
-      i = find_task (server, &order->key);
+    case KIND_START:
+      return execute_start (server, pending);
+    case KIND_STOP:
+      i = find_task (server, &pending->key);
       if (i >= 0 && g_array_index (server->tasks, Task, i).stops_at == 0)
         g_array_index (server->tasks, Task, i).stops_at
-            = server_ms (server) + g_rand_int_range (server->rand, 1, STOP_MS);
+            = server_ms (server) + g_rand_int_range (server->rand, 1, MAX_STOP_MS);
       else if (i < 0)
-        g_array_append_val (server->dead, order->key);
+        g_array_append_val (server->superseded, pending->key);
       break;
-    case ORDER_HOLD:
+    case KIND_HOLD:
       for (guint j = server->ended->len; j > 0; j--)
-        if (g_array_index (server->ended, EndedRun, j - 1).number <= order->ends_seen)
+        if (g_array_index (server->ended, EndedRun, j - 1).number <= pending->ends_seen)
           g_array_remove_index (server->ended, j - 1);
       break;
     }
@@ -229,22 +230,23 @@
         end_task (server, i - 1, RUN_END_EXPIRED);
       else if (now >= task->ends)
         end_task (server, i - 1,
-                  g_rand_double (server->rand) < FAILS ? RUN_END_FAILED : RUN_END_DONE);
+                  g_rand_double (server->rand) < FAILURE_RATE ? RUN_END_FAILED
+                                                              : RUN_END_DONE);
     }
-  for (guint i = 0; i < server->orders->len; i++)
+  for (guint i = 0; i < server->calls->len; i++)
     {
-      Order *order = g_ptr_array_index (server->orders, i);
+      PendingCall *pending = g_ptr_array_index (server->calls, i);
 
-      if (order->lost && !order->carried_out && *server->now >= order->due)
+      if (pending->lost && !pending->executed && *server->now >= pending->due)
         {
-          order->carried_out = TRUE;
-          carry_out (server, order);
+          pending->executed = TRUE;
+          execute (server, pending);
         }
     }
 }
 
 static void
-answer (LeaseServer *server, Order *order, CallEnd end, gint64 now_ms)
+send_reply (LeaseServer *server, PendingCall *pending, CallEnd end, gint64 now_ms)
 {
   CallReply reply = { .end = end, .now_ms = now_ms };
   RunningRun *running = g_new0 (RunningRun, server->tasks->len + 1);
@@ -252,10 +254,10 @@
 
   for (guint i = 0; i < server->ended->len; i++)
     ended[i] = g_array_index (server->ended, EndedRun, i);
-  order->answered = TRUE;
+  pending->replied = TRUE;
   if (end != CALL_UNANSWERED)
     reply.server_ms = server_ms (server);
-  if (end == CALL_DONE && order->kind == ORDER_HOLD)
+  if (end == CALL_DONE && pending->kind == KIND_HOLD)
     {
       for (guint i = 0; i < server->tasks->len; i++)
         {
@@ -270,105 +272,105 @@
       reply.ended = ended;
       reply.n_ended = server->ended->len;
     }
-  order->call.replied (&reply, order->call.ctx, order->call.cookie);
+  pending->call.replied (&reply, pending->call.ctx, pending->call.cookie);
   g_free (running);
   g_free (ended);
 }
 
 static gboolean
-must_wait (const LeaseServer *server, const Order *order)
+is_held (const LeaseServer *server, const PendingCall *pending)
 {
-  return order->answer_by > *server->now && server->ended->len == 0;
+  return pending->hold_until > *server->now && server->ended->len == 0;
 }
 
 void
 lease_server_reply (LeaseServer *server, gint64 now_ms)
 {
-  for (guint i = 0; i < server->orders->len; i++)
+  for (guint i = 0; i < server->calls->len; i++)
     {
-      Order *order = g_ptr_array_index (server->orders, i);
+      PendingCall *pending = g_ptr_array_index (server->calls, i);
 
-      if (order->answered)
+      if (pending->replied)
         continue;
-      if (order->lost || *server->now < server->silent_until)
+      if (pending->lost || *server->now < server->unresponsive_until)
         {
-          if (*server->now >= order->timeout)
+          if (*server->now >= pending->timeout)
             {
-              order->lost = TRUE;
-              answer (server, order, CALL_UNANSWERED, now_ms);
+              pending->lost = TRUE;
+              send_reply (server, pending, CALL_UNANSWERED, now_ms);
             }
           continue;
         }
-      if (*server->now < order->due || must_wait (server, order))
+      if (*server->now < pending->due || is_held (server, pending))
         continue;
-      order->carried_out = TRUE;
-      answer (server, order, carry_out (server, order), now_ms);
+      pending->executed = TRUE;
+      send_reply (server, pending, execute (server, pending), now_ms);
     }
-  for (guint i = server->orders->len; i > 0; i--)
+  for (guint i = server->calls->len; i > 0; i--)
     {
-      const Order *order = g_ptr_array_index (server->orders, i - 1);
+      const PendingCall *pending = g_ptr_array_index (server->calls, i - 1);
 
-      if (order->answered && (order->carried_out || !order->lost))
-        g_ptr_array_remove_index (server->orders, i - 1);
+      if (pending->replied && (pending->executed || !pending->lost))
+        g_ptr_array_remove_index (server->calls, i - 1);
     }
 }
 
 void
 lease_server_drop_calls (LeaseServer *server)
 {
-  for (guint i = 0; i < server->orders->len; i++)
+  for (guint i = 0; i < server->calls->len; i++)
     {
-      Order *order = g_ptr_array_index (server->orders, i);
+      PendingCall *pending = g_ptr_array_index (server->calls, i);
 
-      if (order->answered)
+      if (pending->replied)
         continue;
-      answer (server, order, CALL_UNANSWERED, 0);
-      order->lost = TRUE;
+      send_reply (server, pending, CALL_UNANSWERED, 0);
+      pending->lost = TRUE;
     }
 }
 
-static Order *
-take_call (LeaseServer *server, OrderKind kind, const ServerCall *call)
+static PendingCall *
+add_call (LeaseServer *server, CallKind kind, const ServerCall *call)
 {
-  Order *order = g_new0 (Order, 1);
-
-  order->kind = kind;
-  order->call = *call;
-  g_strlcpy (order->instance, call->instance, sizeof order->instance);
-  order->call.instance = NULL;
-  order->due = *server->now + g_rand_int_range (server->rand, 0, 6);
-  order->timeout = *server->now + call->timeout_ms;
-  if (*server->now < server->late_until
-      && g_rand_double (server->rand) < server->late_share)
+  PendingCall *pending = g_new0 (PendingCall, 1);
+
+  pending->kind = kind;
+  pending->call = *call;
+  g_strlcpy (pending->instance, call->instance, sizeof pending->instance);
+  pending->call.instance = NULL;
+  pending->due = *server->now + g_rand_int_range (server->rand, 0, 6);
+  pending->timeout = *server->now + call->timeout_ms;
+  if (*server->now < server->delay_until
+      && g_rand_double (server->rand) < server->delay_share)
     {
-      order->lost = TRUE;
-      order->due
-          = *server->now + g_rand_int_range (server->rand, LATE_LEAST_MS, LATE_MOST_MS);
+      pending->lost = TRUE;
+      pending->due
+          = *server->now + g_rand_int_range (server->rand, MIN_DELAY_MS, MAX_DELAY_MS);
     }
-  g_ptr_array_add (server->orders, order);
-  return order;
+  g_ptr_array_add (server->calls, pending);
+  return pending;
 }
 
 static void
 start (const ServerCall *call, const RunKey *key, const char *payload, gpointer server)
 {
-  take_call (server, ORDER_START, call)->key = *key;
+  add_call (server, KIND_START, call)->key = *key;
 }
 
 static void
 stop (const ServerCall *call, const RunKey *key, gpointer server)
 {
-  take_call (server, ORDER_STOP, call)->key = *key;
+  add_call (server, KIND_STOP, call)->key = *key;
 }
 
 static void
 hold (const ServerCall *call, guint64 ends_seen, guint wait_ms, gpointer data)
 {
   LeaseServer *server = data;
-  Order *order = take_call (server, ORDER_HOLD, call);
+  PendingCall *pending = add_call (server, KIND_HOLD, call);
 
-  order->ends_seen = ends_seen;
-  order->answer_by = wait_ms > 0 ? *server->now + wait_ms : 0;
+  pending->ends_seen = ends_seen;
+  pending->hold_until = wait_ms > 0 ? *server->now + wait_ms : 0;
 }
 
 const ServerCalls lease_server_calls = { start, stop, hold };
@@ -376,14 +378,14 @@
 void
 lease_server_delay_calls (LeaseServer *server, gint64 until, double share)
 {
-  server->late_until = until;
-  server->late_share = share;
+  server->delay_until = until;
+  server->delay_share = share;
 }
 
 void
 lease_server_stop_responding (LeaseServer *server, gint64 until)
 {
-  server->silent_until = until;
+  server->unresponsive_until = until;
 }
 
 void
@@ -395,13 +397,13 @@
 void
 lease_server_restart (LeaseServer *server)
 {
-  begin_life (server);
+  begin_instance (server);
 }
 
 guint
 lease_server_used_cpu (const LeaseServer *server)
 {
-  return server->tasks->len * CPU_EACH;
+  return server->tasks->len * TASK_CPU_MILLI;
 }
 
 guint
--- a/tests/lease_server.h
+++ b/tests/lease_server.h
@@ -1,5 +1,5 @@
 #pragma once
-/* A backend server that runs tasks under leases, on a clock that the test moves. */
+/* Fake backend server that runs tasks under leases, on a clock that the test advances. */
 #include "runner.h"
 
 typedef struct LeaseServer LeaseServer;
@@ -12,22 +12,24 @@
                                gpointer ctx);
 void lease_server_free (LeaseServer *server);
 
-/** lease_server_set_clock - what its caller's clock shows beyond the test's. */
-void lease_server_set_clock (LeaseServer *server, gint64 caller_offset);
+/** lease_server_set_clock - offset of the agent's clock from the test's, in ms. */
+void lease_server_set_clock (LeaseServer *server, gint64 agent_offset);
 
-/** lease_server_facts - fill in what it says of its life. */
+/** lease_server_facts - fill in instance, clock and report sequence. */
 void lease_server_facts (LeaseServer *server, ServerFacts *facts);
 
-/** lease_server_step - let tasks end and leases lapse, carry out late orders. */
+/** lease_server_step - end tasks and expired leases, execute delayed calls. */
 void lease_server_step (LeaseServer *server);
 
-/** lease_server_reply - hand out the answers that are due. @now_ms: the caller's clock.
+/** lease_server_reply - send the replies that are due. @now_ms: the agent's clock.
  */
 void lease_server_reply (LeaseServer *server, gint64 now_ms);
 
-/** lease_server_drop_calls - its caller is gone: nothing is answered any more. */
+/** lease_server_drop_calls - the agent has exited: fail all open calls. */
 void lease_server_drop_calls (LeaseServer *server);
 
+/** lease_server_delay_calls - execute a @share of new calls late, and leave them
+ * unanswered. */
 void lease_server_delay_calls (LeaseServer *server, gint64 until, double share);
 void lease_server_stop_responding (LeaseServer *server, gint64 until);
 void lease_server_hang (LeaseServer *server, gint64 until);
--- a/tests/lease_sim.c
+++ b/tests/lease_sim.c
@@ -9,15 +9,15 @@
 #define ENTRY_LEASE_MS 450
 #define SERVER_LEASE_MS 700
 #define HEARTBEAT_MS 120
-#define SILENT_MS 500
+#define LINK_TIMEOUT_MS 500
 #define RESEND_MS 1300
 #define FAULTS_END_MS 20000
 #define END_MS 52000
-/* All that the faults left behind is over after this. */
+/* No request sent this long after the last fault may be given up. */
 #define CALM_MS 4000
 #define CAPACITY 4000
-#define CALLER_TIME_MS 4000
-#define TRIES_MOST 6
+#define CALLER_TIMEOUT_MS 4000
+#define MAX_REQUESTS 6
 
 typedef struct Node
 {
@@ -25,21 +25,21 @@
   gboolean is_entry;
   guint64 incarnation;
   gint64 frozen_until;
-  gint64 down_until;   /* 0: runs */
-  gint64 clock_offset; /* clocks of different VMs have nothing in common */
+  gint64 down_until;   /* 0: running */
+  gint64 clock_offset; /* clocks of different VMs are unrelated */
   Dispatcher *dispatcher;
   Runner *runner;
   LeaseServer *server;
-  LeaseSim *world;
+  LeaseSim *sim;
 } Node;
 
 typedef struct
 {
   gint64 due;
   gboolean to_agent;
-  guint64 link; /* the life of the link it was sent on */
+  guint64 connection_id;
   gint64 sender_ms;
-  gint64 granted_until; /* 0: none */
+  gint64 lease_until; /* receiver's clock; 0: none */
   gboolean status;
   ServerStatus state;
   gboolean inventory;
@@ -52,46 +52,46 @@
 {
   Node *entry;
   Node *agent;
-  guint64 life; /* 0: down */
+  guint64 connection_id; /* 0: down */
   gint64 up_since;
-  gint64 heard_by_entry;
-  gint64 heard_by_agent;
+  gint64 received_by_entry;
+  gint64 received_by_agent;
   gint64 sent_by_entry;
   gint64 sent_by_agent;
-  gint64 cut_to_agent_until;
-  gint64 cut_to_entry_until;
-  gint64 redial;
-  PeerClock agent_clock; /* as the entry knows it */
+  gint64 blocked_to_agent_until;
+  gint64 blocked_to_entry_until;
+  gint64 reconnect_at;
+  PeerClock agent_clock; /* the entry's estimate */
   LeasedServer *record;
   GQueue *messages;
-  Message *entry_out; /* of this step */
+  Message *entry_out; /* to be sent at the end of this step, or NULL */
   Message *agent_out;
-} Wire;
+} SimLink;
 
-typedef struct WorldJob WorldJob;
+typedef struct SimJob SimJob;
 
-/* One request of a caller, on a connection of its own. */
+/* One request of a caller, on its own connection. */
 typedef struct
 {
-  WorldJob *owner;
+  SimJob *sim_job;
   Node *entry;
-  guint64 entry_life;
-  LeasedJob *job; /* NULL once it is answered, or its entry is gone */
+  guint64 entry_incarnation;
+  LeasedJob *job; /* NULL once answered, or when its entry has exited */
   gint64 deadline;
   gboolean abandoned; /* the caller has closed the connection */
-} Try;
+} CallerRequest;
 
-struct WorldJob
+struct SimJob
 {
   char id[24];
   guint tasks;
-  gint64 next_try; /* 0: none is due */
-  gboolean over;
+  gint64 send_at; /* 0: no request is due */
+  gboolean ended;
   gboolean started;
   gboolean only_refusals;
-  Try tries[TRIES_MOST];
-  guint n_tries;
-  LeaseSim *world;
+  CallerRequest requests[MAX_REQUESTS];
+  guint n_requests;
+  LeaseSim *sim;
 };
 
 struct LeaseSim
@@ -99,61 +99,61 @@
   LeaseSimInit init;
   GRand *rand;
   gint64 now;
-  guint64 next_life;
+  guint64 next_id;
   Node *entries;
   Node *agents;
-  Wire *wires;
-  WorldJob *jobs;
-  GString *story;
-  char *broken;
+  SimLink *links;
+  SimJob *jobs;
+  GString *trace;
+  char *violation;
   LeaseSimCounts counts;
 };
 
-static void G_GNUC_PRINTF (2, 3) tell (LeaseSim *world, const char *format, ...)
+static void G_GNUC_PRINTF (2, 3) trace_event (LeaseSim *sim, const char *format, ...)
 {
   va_list args;
 
   va_start (args, format);
-  g_string_append_printf (world->story, "%6" G_GINT64_FORMAT " ", world->now);
-  g_string_append_vprintf (world->story, format, args);
-  g_string_append_c (world->story, '\n');
+  g_string_append_printf (sim->trace, "%6" G_GINT64_FORMAT " ", sim->now);
+  g_string_append_vprintf (sim->trace, format, args);
+  g_string_append_c (sim->trace, '\n');
   va_end (args);
 }
 
-static void G_GNUC_PRINTF (2, 3) breaks (LeaseSim *world, const char *format, ...)
+static void G_GNUC_PRINTF (2, 3) report_violation (LeaseSim *sim, const char *format, ...)
 {
   va_list args;
 
-  if (world->broken != NULL)
+  if (sim->violation != NULL)
     return;
   va_start (args, format);
-  world->broken = g_strdup_vprintf (format, args);
+  sim->violation = g_strdup_vprintf (format, args);
   va_end (args);
-  tell (world, "BROKEN: %s", world->broken);
+  trace_event (sim, "VIOLATION: %s", sim->violation);
 }
 
 static gboolean
-chance (LeaseSim *world, double probability)
+chance (LeaseSim *sim, double probability)
 {
-  return g_rand_double (world->rand) < probability;
+  return g_rand_double (sim->rand) < probability;
 }
 
 static gboolean
-runs (const Node *node)
+is_running (const Node *node)
 {
-  return node->down_until == 0 && node->world->now >= node->frozen_until;
+  return node->down_until == 0 && node->sim->now >= node->frozen_until;
 }
 
 static gint64
-clock_of (const Node *node)
+node_clock (const Node *node)
 {
-  return node->world->now + node->clock_offset;
+  return node->sim->now + node->clock_offset;
 }
 
-static Wire *
-wire_of (LeaseSim *world, const Node *entry, const Node *agent)
+static SimLink *
+link_between (LeaseSim *sim, const Node *entry, const Node *agent)
 {
-  return &world->wires[entry->index * world->init.agents + agent->index];
+  return &sim->links[entry->index * sim->init.agents + agent->index];
 }
 
 /* Messages. */
@@ -184,22 +184,22 @@
 }
 
 static Message *
-entry_out (Wire *wire)
+entry_out (SimLink *link)
 {
-  if (wire->entry_out == NULL)
-    wire->entry_out = message_new ();
-  return wire->entry_out;
+  if (link->entry_out == NULL)
+    link->entry_out = message_new ();
+  return link->entry_out;
 }
 
 static Message *
-agent_out (Wire *wire)
+agent_out (SimLink *link)
 {
-  if (wire->agent_out == NULL)
-    wire->agent_out = message_new ();
-  return wire->agent_out;
+  if (link->agent_out == NULL)
+    link->agent_out = message_new ();
+  return link->agent_out;
 }
 
-/* What the dispatcher asks for. */
+/* Dispatcher callbacks. */
 
 static void
 on_order (LeasedServer *server,
@@ -207,48 +207,52 @@
           const RunKey *keys,
           gsize n,
           guint expected_ms,
-          const ResourceRequest *wish,
+          const ResourceRequest *resources,
           gint64 valid_until_ms,
           gpointer ctx)
 {
-  Wire *wire = leased_server_user_data (server);
+  SimLink *link = leased_server_user_data (server);
 
   for (gsize i = 0; i < n; i++)
     {
-      RunRequest request = { .entry = wire->entry->incarnation,
+      RunRequest request = { .entry = link->entry->incarnation,
                              .key = keys[i],
                              .payload = "p",
                              .demand = spec->demand,
                              .expected_ms = expected_ms,
-                             .resources = *wish,
+                             .resources = *resources,
                              .valid_until_ms = valid_until_ms };
 
-      g_array_append_val (entry_out (wire)->starts, request);
+      g_array_append_val (entry_out (link)->starts, request);
     }
 }
 
 static void
 on_stop (LeasedServer *server, const RunKey *key, gpointer ctx)
 {
-  Wire *wire = leased_server_user_data (server);
+  SimLink *link = leased_server_user_data (server);
 
-  g_array_append_val (entry_out (wire)->stops, *key);
+  g_array_append_val (entry_out (link)->stops, *key);
 }
 
 static void
-on_want_pump (gpointer ctx)
+on_pump (gpointer ctx)
 {
 }
 
-/* Offers of room are left out here: they change who starts, not what may. */
+/* Resource offers are not simulated: they affect which task starts, not whether a start
+ * is valid. */
 static void
-on_want (LeasedServer *server, const ResourceRequest *wish, gpointer ctx)
+on_request_resources (LeasedServer *server,
+                      const ResourceRequest *resources,
+                      gpointer ctx)
 {
 }
 
-static const DispatcherOps dispatcher_ops = { on_order, on_want, on_stop, on_want_pump };
+static const DispatcherOps dispatcher_ops
+    = { on_order, on_request_resources, on_stop, on_pump };
 
-/* What the runner reports. */
+/* Runner callbacks. */
 
 static TaskEvent
 event_of (ReportKind kind)
@@ -260,17 +264,17 @@
   return events[kind];
 }
 
-static Wire *
-wire_to_entry (Node *agent, guint64 incarnation)
+static SimLink *
+link_to_entry (Node *agent, guint64 incarnation)
 {
-  LeaseSim *world = agent->world;
+  LeaseSim *sim = agent->sim;
 
-  for (guint i = 0; i < world->init.entries; i++)
+  for (guint i = 0; i < sim->init.entries; i++)
     {
-      Wire *wire = wire_of (world, &world->entries[i], agent);
+      SimLink *link = link_between (sim, &sim->entries[i], agent);
 
-      if (world->entries[i].incarnation == incarnation && wire->life != 0)
-        return wire;
+      if (sim->entries[i].incarnation == incarnation && link->connection_id != 0)
+        return link;
     }
   return NULL;
 }
@@ -287,164 +291,168 @@
 }
 
 static void
-on_report (guint64 incarnation, const RunReport *told, gpointer ctx)
+on_report (guint64 incarnation, const RunReport *run_report, gpointer ctx)
 {
-  Wire *wire = wire_to_entry (ctx, incarnation);
-  TaskReport report = task_report (told);
+  SimLink *link = link_to_entry (ctx, incarnation);
+  TaskReport report = task_report (run_report);
 
-  if (wire != NULL)
-    g_array_append_val (agent_out (wire)->reports, report);
+  if (link != NULL)
+    g_array_append_val (agent_out (link)->reports, report);
 }
 
 static void
-on_straggles (guint64 incarnation,
+on_straggler (guint64 incarnation,
               const RunKey *key,
               guint remaining_ms,
               guint elsewhere_ms,
               gpointer ctx)
 {
-  Wire *wire = wire_to_entry (ctx, incarnation);
+  SimLink *link = link_to_entry (ctx, incarnation);
   TaskReport report = { .key = *key,
                         .event = TASK_STRAGGLES,
                         .reason = "",
                         .remaining_ms = remaining_ms,
                         .elsewhere_ms = elsewhere_ms };
 
-  if (wire != NULL)
-    g_array_append_val (agent_out (wire)->reports, report);
+  if (link != NULL)
+    g_array_append_val (agent_out (link)->reports, report);
 }
 
 static void
 on_changed (gpointer ctx)
 {
   Node *agent = ctx;
-  LeaseSim *world = agent->world;
+  LeaseSim *sim = agent->sim;
 
-  for (guint i = 0; i < world->init.entries; i++)
+  for (guint i = 0; i < sim->init.entries; i++)
     {
-      Wire *wire = wire_of (world, &world->entries[i], agent);
+      SimLink *link = link_between (sim, &sim->entries[i], agent);
 
-      if (wire->life != 0)
-        agent_out (wire)->status = TRUE;
+      if (link->connection_id != 0)
+        agent_out (link)->status = TRUE;
     }
 }
 
 static void
-on_no_room (guint64 incarnation, const ResourceRequest *wish, gpointer ctx)
+on_no_room (guint64 incarnation, const ResourceRequest *resources, gpointer ctx)
 {
 }
 
-static const RunnerOps runner_ops = { on_report, on_straggles, on_no_room, on_changed };
+static const RunnerOps runner_ops = { on_report, on_straggler, on_no_room, on_changed };
 
 /* Nodes. */
 
 static void
-entry_boot (Node *entry)
+entry_start (Node *entry)
 {
   DispatcherInit init = { SERVER_LEASE_MS };
 
-  entry->incarnation = ++entry->world->next_life;
+  entry->incarnation = ++entry->sim->next_id;
   entry->dispatcher = dispatcher_new (&init, &dispatcher_ops, entry);
 }
 
 static void
-tell_facts (Node *agent)
+send_facts (Node *agent)
 {
   ServerFacts facts
       = { .service = "s", .zone = "z", .capacity = { CAPACITY, 100000, 0 } };
 
   lease_server_facts (agent->server, &facts);
-  runner_facts (agent->runner, &facts, clock_of (agent));
+  runner_facts (agent->runner, &facts, node_clock (agent));
 }
 
 static void
-agent_boot (Node *agent)
+agent_start (Node *agent)
 {
   RunnerInit init = { &lease_server_calls, agent->server, SERVER_LEASE_MS };
 
-  agent->incarnation = ++agent->world->next_life;
+  agent->incarnation = ++agent->sim->next_id;
   lease_server_set_clock (agent->server, agent->clock_offset);
   agent->runner = runner_new (&init, &runner_ops, agent);
-  tell_facts (agent);
+  send_facts (agent);
 }
 
 /* Links. */
 
 static void
-wire_break (Wire *wire)
+link_close (SimLink *link)
 {
   Message *message;
 
-  if (wire->life == 0)
+  if (link->connection_id == 0)
     return;
-  wire->life = 0;
-  wire->redial = wire->entry->world->now + 100;
-  while ((message = g_queue_pop_head (wire->messages)) != NULL)
+  link->connection_id = 0;
+  link->reconnect_at = link->entry->sim->now + 100;
+  while ((message = g_queue_pop_head (link->messages)) != NULL)
     message_free (message);
-  message_free (g_steal_pointer (&wire->entry_out));
-  message_free (g_steal_pointer (&wire->agent_out));
-  if (wire->entry->dispatcher != NULL && wire->record != NULL)
-    dispatcher_server_down (wire->record, clock_of (wire->entry));
-  wire->record = NULL;
+  message_free (g_steal_pointer (&link->entry_out));
+  message_free (g_steal_pointer (&link->agent_out));
+  if (link->entry->dispatcher != NULL && link->record != NULL)
+    dispatcher_server_down (link->record, node_clock (link->entry));
+  link->record = NULL;
 }
 
 static void
-add_to_inventory (const RunReport *told, gpointer ctx)
+add_to_inventory (const RunReport *run_report, gpointer ctx)
 {
-  TaskReport report = task_report (told);
+  TaskReport report = task_report (run_report);
 
   g_array_append_val (((Message *)ctx)->reports, report);
 }
 
 static void
-wire_connect (Wire *wire)
+link_connect (SimLink *link)
 {
-  LeaseSim *world = wire->entry->world;
+  LeaseSim *sim = link->entry->sim;
   char name[16];
 
-  if (wire->life != 0 || world->now < wire->redial || !runs (wire->entry)
-      || !runs (wire->agent) || world->now < wire->cut_to_agent_until
-      || world->now < wire->cut_to_entry_until)
+  if (link->connection_id != 0 || sim->now < link->reconnect_at
+      || !is_running (link->entry) || !is_running (link->agent)
+      || sim->now < link->blocked_to_agent_until
+      || sim->now < link->blocked_to_entry_until)
     return;
-  g_snprintf (name, sizeof name, "agent-%u", wire->agent->index);
-  wire->life = ++world->next_life;
-  wire->heard_by_entry = wire->heard_by_agent = world->now;
-  wire->sent_by_entry = wire->sent_by_agent = 0;
-  memset (&wire->agent_clock, 0, sizeof wire->agent_clock);
-  peer_clock_observe (&wire->agent_clock, clock_of (wire->agent), clock_of (wire->entry));
-  wire->record = dispatcher_server_up (wire->entry->dispatcher, wire->agent->incarnation,
-                                       name, wire);
-  dispatcher_server_clock (wire->record, clock_of (wire->agent), clock_of (wire->entry));
-  agent_out (wire)->inventory = TRUE;
-  agent_out (wire)->status = TRUE;
-  runner_each_run (wire->agent->runner, wire->entry->incarnation, add_to_inventory,
-                   agent_out (wire));
+  g_snprintf (name, sizeof name, "agent-%u", link->agent->index);
+  link->connection_id = ++sim->next_id;
+  link->received_by_entry = link->received_by_agent = sim->now;
+  link->sent_by_entry = link->sent_by_agent = 0;
+  memset (&link->agent_clock, 0, sizeof link->agent_clock);
+  peer_clock_observe (&link->agent_clock, node_clock (link->agent),
+                      node_clock (link->entry));
+  link->record = dispatcher_server_up (link->entry->dispatcher, link->agent->incarnation,
+                                       name, link);
+  dispatcher_server_clock (link->record, node_clock (link->agent),
+                           node_clock (link->entry));
+  agent_out (link)->inventory = TRUE;
+  agent_out (link)->status = TRUE;
+  runner_each_run (link->agent->runner, link->entry->incarnation, add_to_inventory,
+                   agent_out (link));
 }
 
 static void
-post (Wire *wire, Message *message, gboolean to_agent)
+send_message (SimLink *link, Message *message, gboolean to_agent)
 {
-  LeaseSim *world = wire->entry->world;
-  gint64 cut = to_agent ? wire->cut_to_agent_until : wire->cut_to_entry_until;
+  LeaseSim *sim = link->entry->sim;
+  gint64 blocked_until
+      = to_agent ? link->blocked_to_agent_until : link->blocked_to_entry_until;
 
   message->to_agent = to_agent;
-  message->link = wire->life;
-  message->due = MAX (world->now, cut) + g_rand_int_range (world->rand, 1, 8);
-  for (GList *item = wire->messages->head; item != NULL; item = item->next)
+  message->connection_id = link->connection_id;
+  message->due = MAX (sim->now, blocked_until) + g_rand_int_range (sim->rand, 1, 8);
+  for (GList *item = link->messages->head; item != NULL; item = item->next)
     {
       const Message *other = item->data;
 
       if (other->to_agent == to_agent)
         message->due = MAX (message->due, other->due);
     }
-  g_queue_push_tail (wire->messages, message);
+  g_queue_push_tail (link->messages, message);
 }
 
 static void
-fill_status (Wire *wire, Message *message)
+fill_status (SimLink *link, Message *message)
 {
-  Runner *runner = wire->agent->runner;
-  const ServerHealth *quality = runner_server_health (runner);
+  Runner *runner = link->agent->runner;
+  const ServerHealth *health = runner_server_health (runner);
 
   if (!message->status || runner_instance (runner) == NULL)
     {
@@ -457,202 +465,204 @@
   message->state.labels = g_new0 (char *, 1);
   message->state.capacity = *runner_capacity (runner);
   message->state.used_by_others
-      = runner_used_by_others (runner, wire->entry->incarnation);
+      = runner_used_by_others (runner, link->entry->incarnation);
   message->state.ready = runner_ready (runner);
   message->state.draining = runner_draining (runner);
-  message->state.trust = quality->trust;
-  message->state.slowness_percent = (guint)(quality->slowness * 100);
+  message->state.trust = health->trust;
+  message->state.slowness_percent = (guint)(health->slowness * 100);
 }
 
 static void
-flush_entry (Wire *wire)
+flush_entry (SimLink *link)
 {
-  LeaseSim *world = wire->entry->world;
+  LeaseSim *sim = link->entry->sim;
   Message *message;
 
-  if (wire->life == 0 || !runs (wire->entry))
+  if (link->connection_id == 0 || !is_running (link->entry))
     return;
-  if (wire->entry_out == NULL && world->now - wire->sent_by_entry < HEARTBEAT_MS)
+  if (link->entry_out == NULL && sim->now - link->sent_by_entry < HEARTBEAT_MS)
     return;
-  message = entry_out (wire);
-  wire->entry_out = NULL;
-  wire->sent_by_entry = world->now;
-  message->sender_ms = clock_of (wire->entry);
-  message->granted_until
-      = peer_clock_least (&wire->agent_clock, clock_of (wire->entry), 0) + ENTRY_LEASE_MS;
-  dispatcher_server_lease_extended (wire->record, message->granted_until);
-  post (wire, message, TRUE);
+  message = entry_out (link);
+  link->entry_out = NULL;
+  link->sent_by_entry = sim->now;
+  message->sender_ms = node_clock (link->entry);
+  message->lease_until
+      = peer_clock_least (&link->agent_clock, node_clock (link->entry), 0)
+        + ENTRY_LEASE_MS;
+  dispatcher_server_lease_extended (link->record, message->lease_until);
+  send_message (link, message, TRUE);
 }
 
 static void
-flush_agent (Wire *wire)
+flush_agent (SimLink *link)
 {
-  LeaseSim *world = wire->entry->world;
+  LeaseSim *sim = link->entry->sim;
   Message *message;
 
-  if (wire->life == 0 || !runs (wire->agent))
+  if (link->connection_id == 0 || !is_running (link->agent))
     return;
-  if (wire->agent_out == NULL && world->now - wire->sent_by_agent < HEARTBEAT_MS)
+  if (link->agent_out == NULL && sim->now - link->sent_by_agent < HEARTBEAT_MS)
     return;
-  message = agent_out (wire);
-  wire->agent_out = NULL;
-  wire->sent_by_agent = world->now;
-  message->sender_ms = clock_of (wire->agent);
-  fill_status (wire, message);
-  post (wire, message, FALSE);
+  message = agent_out (link);
+  link->agent_out = NULL;
+  link->sent_by_agent = sim->now;
+  message->sender_ms = node_clock (link->agent);
+  fill_status (link, message);
+  send_message (link, message, FALSE);
 }
 
 static void
-take_at_agent (Wire *wire, Message *message)
+agent_receive (SimLink *link, Message *message)
 {
-  Node *agent = wire->agent;
-  gint64 now = clock_of (agent);
+  Node *agent = link->agent;
+  gint64 now = node_clock (agent);
 
-  if (message->granted_until > 0)
-    runner_extend_lease (agent->runner, wire->entry->incarnation, message->granted_until);
+  if (message->lease_until > 0)
+    runner_extend_lease (agent->runner, link->entry->incarnation, message->lease_until);
   for (guint i = 0; i < message->stops->len; i++)
-    runner_stop (agent->runner, wire->entry->incarnation,
+    runner_stop (agent->runner, link->entry->incarnation,
                  &g_array_index (message->stops, RunKey, i), now);
   for (guint i = 0; i < message->starts->len; i++)
     runner_start (agent->runner, &g_array_index (message->starts, RunRequest, i), now);
 }
 
 static void
-take_at_entry (Wire *wire, Message *message)
+entry_receive (SimLink *link, Message *message)
 {
-  gint64 now = clock_of (wire->entry);
+  gint64 now = node_clock (link->entry);
 
-  peer_clock_observe (&wire->agent_clock, message->sender_ms, now);
-  dispatcher_server_clock (wire->record, message->sender_ms, now);
+  peer_clock_observe (&link->agent_clock, message->sender_ms, now);
+  dispatcher_server_clock (link->record, message->sender_ms, now);
   if (message->status)
     {
-      dispatcher_server_status (wire->record, &message->state);
+      dispatcher_server_status (link->record, &message->state);
       memset (&message->state, 0, sizeof message->state);
     }
   if (message->reports->len > 0 || message->inventory)
-    dispatcher_reports (wire->record, (const TaskReport *)message->reports->data,
+    dispatcher_reports (link->record, (const TaskReport *)message->reports->data,
                         message->reports->len, message->inventory, now);
 }
 
-/* A node that was frozen finds old frames; the link's own check drops them with it. */
+/* A node that was frozen finds old frames; the link's timeout closes it and drops them.
+ */
 static gboolean
-is_stale (Wire *wire, gboolean at_agent)
+is_stale (SimLink *link, gboolean at_agent)
 {
-  gint64 heard = at_agent ? wire->heard_by_agent : wire->heard_by_entry;
+  gint64 received = at_agent ? link->received_by_agent : link->received_by_entry;
 
-  return wire->entry->world->now - heard > SILENT_MS;
+  return link->entry->sim->now - received > LINK_TIMEOUT_MS;
 }
 
 static void
-deliver (Wire *wire)
+deliver (SimLink *link)
 {
-  LeaseSim *world = wire->entry->world;
-  GList *item = wire->messages->head;
+  LeaseSim *sim = link->entry->sim;
+  GList *item = link->messages->head;
 
-  while (item != NULL && wire->life != 0)
+  while (item != NULL && link->connection_id != 0)
     {
       Message *message = item->data;
-      Node *receiver = message->to_agent ? wire->agent : wire->entry;
+      Node *receiver = message->to_agent ? link->agent : link->entry;
       GList *next = item->next;
 
-      if (message->due > world->now || !runs (receiver))
+      if (message->due > sim->now || !is_running (receiver))
         {
           item = next;
           continue;
         }
-      if (is_stale (wire, message->to_agent))
+      if (is_stale (link, message->to_agent))
         {
-          wire_break (wire);
+          link_close (link);
           return;
         }
-      g_queue_delete_link (wire->messages, item);
+      g_queue_delete_link (link->messages, item);
       if (message->to_agent)
         {
-          wire->heard_by_agent = world->now;
-          take_at_agent (wire, message);
+          link->received_by_agent = sim->now;
+          agent_receive (link, message);
         }
       else
         {
-          wire->heard_by_entry = world->now;
-          take_at_entry (wire, message);
+          link->received_by_entry = sim->now;
+          entry_receive (link, message);
         }
       message_free (message);
-      item = wire->messages->head;
+      item = link->messages->head;
     }
 }
 
 static void
-check_silence (Wire *wire)
+check_timeout (SimLink *link)
 {
-  if (wire->life == 0)
+  if (link->connection_id == 0)
     return;
-  if ((runs (wire->entry) && is_stale (wire, FALSE))
-      || (runs (wire->agent) && is_stale (wire, TRUE)))
-    wire_break (wire);
+  if ((is_running (link->entry) && is_stale (link, FALSE))
+      || (is_running (link->agent) && is_stale (link, TRUE)))
+    link_close (link);
 }
 
 /* Callers. */
 
-static WorldJob *
-find_job (LeaseSim *world, const char *id)
+static SimJob *
+find_job (LeaseSim *sim, const char *id)
 {
-  for (guint i = 0; i < world->init.jobs; i++)
-    if (strcmp (world->jobs[i].id, id) == 0)
-      return &world->jobs[i];
+  for (guint i = 0; i < sim->init.jobs; i++)
+    if (strcmp (sim->jobs[i].id, id) == 0)
+      return &sim->jobs[i];
   return NULL;
 }
 
 static void
-try_again (WorldJob *job)
+schedule_resend (SimJob *job)
 {
   job->only_refusals = FALSE;
-  if (job->n_tries < TRIES_MOST)
-    job->next_try = job->world->now + RESEND_MS;
+  if (job->n_requests < MAX_REQUESTS)
+    job->send_at = job->sim->now + RESEND_MS;
   else
-    job->over = TRUE;
+    job->ended = TRUE;
 }
 
 static void
 on_done (const LeasedResult *result, gpointer ctx)
 {
-  Try *try = ctx;
-  WorldJob *job = try->owner;
-  LeaseSim *world = job->world;
+  CallerRequest *request = ctx;
+  SimJob *job = request->sim_job;
+  LeaseSim *sim = job->sim;
 
-  try->job = NULL;
-  if (try->abandoned || job->over)
+  request->job = NULL;
+  if (request->abandoned || job->ended)
     return;
-  tell (world, "%s ends %d: %s", job->id, result->end, result->reason);
+  trace_event (sim, "%s ended with %d: %s", job->id, result->end, result->reason);
   switch (result->end)
     {
     case LEASED_COMPLETED:
-      world->counts.completed++;
-      job->over = TRUE;
+      sim->counts.completed++;
+      job->ended = TRUE;
       break;
     case LEASED_FAILED:
-      world->counts.failed++;
-      job->over = TRUE;
+      sim->counts.failed++;
+      job->ended = TRUE;
       break;
     case LEASED_REFUSED:
-      world->counts.refused++;
-      job->over = TRUE;
+      sim->counts.refused++;
+      job->ended = TRUE;
       if (job->started && job->only_refusals)
-        breaks (world, "%s was said not to have run, and had", job->id);
+        report_violation (sim, "%s was refused as not run, but had started", job->id);
       break;
     case LEASED_GIVEN_UP:
-      world->counts.given_up++;
-      if (try->deadline > FAULTS_END_MS + CALM_MS + CALLER_TIME_MS)
-        breaks (world, "%s was given up though all was well", job->id);
-      try_again (job);
+      sim->counts.given_up++;
+      if (request->deadline > FAULTS_END_MS + CALM_MS + CALLER_TIMEOUT_MS)
+        report_violation (sim, "%s was given up without a fault", job->id);
+      schedule_resend (job);
       break;
     }
 }
 
 static void
-submit (WorldJob *job, Node *entry)
+submit (SimJob *job, Node *entry)
 {
-  LeaseSim *world = job->world;
-  gint64 now = clock_of (entry);
+  LeaseSim *sim = job->sim;
+  gint64 now = node_clock (entry);
   LeasedSpec spec = { .id = job->id,
                       .queue = "q",
                       .service = "s",
@@ -666,60 +676,60 @@
                       .stretch = 4,
                       .demand = { 1000, 10, 0 },
                       .arrived_ms = now,
-                      .deadline_ms = now + CALLER_TIME_MS };
-  Try *try = &job->tries[job->n_tries++];
-
-  tell (world, "%s to entry %u", job->id, entry->index);
-  job->next_try = 0;
-  try->owner = job;
-  try->entry = entry;
-  try->entry_life = entry->incarnation;
-  try->deadline = world->now + CALLER_TIME_MS + 100;
-  try->job = dispatcher_submit (entry->dispatcher, &spec, on_done, try, now);
+                      .deadline_ms = now + CALLER_TIMEOUT_MS };
+  CallerRequest *request = &job->requests[job->n_requests++];
+
+  trace_event (sim, "%s sent to entry %u", job->id, entry->index);
+  job->send_at = 0;
+  request->sim_job = job;
+  request->entry = entry;
+  request->entry_incarnation = entry->incarnation;
+  request->deadline = sim->now + CALLER_TIMEOUT_MS + 100;
+  request->job = dispatcher_submit (entry->dispatcher, &spec, on_done, request, now);
 }
 
-/* The entry of a request notices its caller's going once it runs. */
+/* A frozen entry notices that its caller has disconnected once it runs again. */
 static void
-follow_try (Try *try)
+follow_request (CallerRequest *request)
 {
-  Node *entry = try->entry;
-  LeasedJob *left = try->job;
+  Node *entry = request->entry;
+  LeasedJob *job = request->job;
 
-  if (left == NULL)
+  if (job == NULL)
     return;
-  if (entry->incarnation != try->entry_life || entry->down_until != 0)
+  if (entry->incarnation != request->entry_incarnation || entry->down_until != 0)
     {
-      try->job = NULL;
-      if (!try->abandoned && !try->owner->over)
-        try_again (try->owner);
-      try->abandoned = TRUE;
+      request->job = NULL;
+      if (!request->abandoned && !request->sim_job->ended)
+        schedule_resend (request->sim_job);
+      request->abandoned = TRUE;
       return;
     }
-  if (!try->abandoned && entry->world->now > try->deadline)
+  if (!request->abandoned && entry->sim->now > request->deadline)
     {
-      try->abandoned = TRUE;
-      try_again (try->owner);
+      request->abandoned = TRUE;
+      schedule_resend (request->sim_job);
     }
-  if (!try->abandoned || !runs (entry))
+  if (!request->abandoned || !is_running (entry))
     return;
-  try->job = NULL;
-  dispatcher_cancel (left, clock_of (entry));
+  request->job = NULL;
+  dispatcher_cancel (job, node_clock (entry));
 }
 
 static void
-follow_job (WorldJob *job)
+follow_job (SimJob *job)
 {
-  LeaseSim *world = job->world;
+  LeaseSim *sim = job->sim;
   Node *entry;
 
-  for (guint i = 0; i < job->n_tries; i++)
-    follow_try (&job->tries[i]);
-  if (job->over || job->next_try == 0 || world->now < job->next_try)
+  for (guint i = 0; i < job->n_requests; i++)
+    follow_request (&job->requests[i]);
+  if (job->ended || job->send_at == 0 || sim->now < job->send_at)
     return;
-  entry = &world->entries[g_rand_int_range (world->rand, 0, (gint32)world->init.entries)];
-  if (!runs (entry))
+  entry = &sim->entries[g_rand_int_range (sim->rand, 0, (gint32)sim->init.entries)];
+  if (!is_running (entry))
     {
-      job->next_try = world->now + RESEND_MS;
+      job->send_at = sim->now + RESEND_MS;
       return;
     }
   submit (job, entry);
@@ -728,14 +738,14 @@
 /* Faults. */
 
 static void
-kill_node (LeaseSim *world, Node *node, gint64 down_ms)
+kill_node (LeaseSim *sim, Node *node, gint64 down_ms)
 {
   if (node->down_until != 0)
     return;
-  node->down_until = world->now + down_ms;
-  for (guint i = 0; i < world->init.entries * world->init.agents; i++)
-    if (world->wires[i].entry == node || world->wires[i].agent == node)
-      wire_break (&world->wires[i]);
+  node->down_until = sim->now + down_ms;
+  for (guint i = 0; i < sim->init.entries * sim->init.agents; i++)
+    if (sim->links[i].entry == node || sim->links[i].agent == node)
+      link_close (&sim->links[i]);
   if (node->is_entry)
     {
       g_clear_pointer (&node->dispatcher, dispatcher_free);
@@ -747,269 +757,268 @@
 }
 
 static void
-boot_if_due (LeaseSim *world, Node *node)
+restart_if_due (LeaseSim *sim, Node *node)
 {
-  if (node->down_until == 0 || world->now < node->down_until)
+  if (node->down_until == 0 || sim->now < node->down_until)
     return;
   node->down_until = 0;
   node->frozen_until = 0;
-  tell (world, "%s %u is back", node->is_entry ? "entry" : "agent", node->index);
+  trace_event (sim, "%s %u restarted", node->is_entry ? "entry" : "agent", node->index);
   if (node->is_entry)
-    entry_boot (node);
+    entry_start (node);
   else
-    agent_boot (node);
+    agent_start (node);
 }
 
 static void
-cut_wire (LeaseSim *world, Wire *wire, gint64 length)
+cut_link (LeaseSim *sim, SimLink *link, gint64 length)
 {
-  guint way = (guint)g_rand_int_range (world->rand, 0, 3);
+  guint direction = (guint)g_rand_int_range (sim->rand, 0, 3);
 
-  if (way != 1)
-    wire->cut_to_agent_until = world->now + length;
-  if (way != 2)
-    wire->cut_to_entry_until = world->now + length;
+  if (direction != 1)
+    link->blocked_to_agent_until = sim->now + length;
+  if (direction != 2)
+    link->blocked_to_entry_until = sim->now + length;
 }
 
 static void
-strike (LeaseSim *world)
+inject_fault (LeaseSim *sim)
 {
-  static const char *const names[]
-      = { "kill entry", "kill agent",  "freeze entry",  "freeze agent",    "cut",
-          "reset",      "late orders", "silent server", "server restarts", "hang" };
-  guint what = (guint)g_rand_int_range (world->rand, 0, G_N_ELEMENTS (names));
-  Node *entry
-      = &world->entries[g_rand_int_range (world->rand, 0, (gint32)world->init.entries)];
-  Node *agent
-      = &world->agents[g_rand_int_range (world->rand, 0, (gint32)world->init.agents)];
-  gint64 length = g_rand_int_range (world->rand, 20, 3000);
-
-  world->counts.faults++;
-  tell (world, "%s: entry %u, agent %u, %" G_GINT64_FORMAT " ms", names[what],
-        entry->index, agent->index, length);
-  switch (what)
+  static const char *const fault_names[] = {
+    "kill entry", "kill agent",    "freeze entry",        "freeze agent",   "cut",
+    "reset",      "delayed calls", "unresponsive server", "server restart", "hang"
+  };
+  guint kind = (guint)g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (fault_names));
+  Node *entry = &sim->entries[g_rand_int_range (sim->rand, 0, (gint32)sim->init.entries)];
+  Node *agent = &sim->agents[g_rand_int_range (sim->rand, 0, (gint32)sim->init.agents)];
+  gint64 length = g_rand_int_range (sim->rand, 20, 3000);
+
+  sim->counts.faults++;
+  trace_event (sim, "%s: entry %u, agent %u, %" G_GINT64_FORMAT " ms", fault_names[kind],
+               entry->index, agent->index, length);
+  switch (kind)
     {
     case 0:
-      kill_node (world, entry, length);
+      kill_node (sim, entry, length);
       break;
     case 1:
-      kill_node (world, agent, length);
+      kill_node (sim, agent, length);
       break;
     case 2:
-      entry->frozen_until = world->now + length;
+      entry->frozen_until = sim->now + length;
       break;
     case 3:
-      agent->frozen_until = world->now + length;
+      agent->frozen_until = sim->now + length;
       break;
     case 4:
-      cut_wire (world, wire_of (world, entry, agent), length);
+      cut_link (sim, link_between (sim, entry, agent), length);
       break;
     case 5:
-      wire_break (wire_of (world, entry, agent));
+      link_close (link_between (sim, entry, agent));
       break;
     case 6:
-      lease_server_delay_calls (agent->server, world->now + length, 0.3);
+      lease_server_delay_calls (agent->server, sim->now + length, 0.3);
       break;
     case 7:
-      lease_server_stop_responding (agent->server, world->now + length);
+      lease_server_stop_responding (agent->server, sim->now + length);
       break;
     case 8:
       lease_server_restart (agent->server);
       break;
     case 9:
-      lease_server_hang (agent->server, world->now + length);
+      lease_server_hang (agent->server, sim->now + length);
       break;
     default:
       g_assert_not_reached ();
     }
 }
 
-/* Promises. */
+/* Invariants. */
 
 static void
 on_started (const RunKey *key, gpointer ctx)
 {
-  LeaseSim *world = ctx;
-  WorldJob *job = find_job (world, key->job);
+  LeaseSim *sim = ctx;
+  SimJob *job = find_job (sim, key->job);
 
-  world->counts.starts++;
+  sim->counts.starts++;
   g_assert_nonnull (job);
   job->started = TRUE;
 }
 
 static void
-check_promises (LeaseSim *world)
+check_invariants (LeaseSim *sim)
 {
   GHashTable *running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
-  for (guint i = 0; i < world->init.agents; i++)
+  for (guint i = 0; i < sim->init.agents; i++)
     {
-      LeaseServer *server = world->agents[i].server;
+      LeaseServer *server = sim->agents[i].server;
 
       if (lease_server_used_cpu (server) > CAPACITY)
-        breaks (world, "server %u is over its capacity", i);
+        report_violation (sim, "server %u exceeds its capacity", i);
       for (guint j = 0; j < lease_server_running (server); j++)
         {
           const RunKey *key = lease_server_run (server, j);
           char *name = g_strdup_printf ("%s.%u", key->job, key->index);
 
           if (!g_hash_table_add (running, name))
-            breaks (world, "two runs of %s.%u at once", key->job, key->index);
+            report_violation (sim, "two runs of %s.%u at once", key->job, key->index);
         }
     }
   g_hash_table_unref (running);
 }
 
 static void
-check_end (LeaseSim *world)
+check_end (LeaseSim *sim)
 {
-  for (guint i = 0; i < world->init.jobs; i++)
-    if (!world->jobs[i].over)
-      breaks (world, "%s never ended", world->jobs[i].id);
+  for (guint i = 0; i < sim->init.jobs; i++)
+    if (!sim->jobs[i].ended)
+      report_violation (sim, "%s never ended", sim->jobs[i].id);
 }
 
 LeaseSim *
 lease_sim_new (const LeaseSimInit *init)
 {
-  LeaseSim *world = g_new0 (LeaseSim, 1);
-
-  world->init = *init;
-  world->rand = g_rand_new_with_seed (init->seed);
-  world->story = g_string_new (NULL);
-  world->now = 1000;
-  world->entries = g_new0 (Node, init->entries);
-  world->agents = g_new0 (Node, init->agents);
-  world->wires = g_new0 (Wire, init->entries * init->agents);
-  world->jobs = g_new0 (WorldJob, init->jobs);
+  LeaseSim *sim = g_new0 (LeaseSim, 1);
+
+  sim->init = *init;
+  sim->rand = g_rand_new_with_seed (init->seed);
+  sim->trace = g_string_new (NULL);
+  sim->now = 1000;
+  sim->entries = g_new0 (Node, init->entries);
+  sim->agents = g_new0 (Node, init->agents);
+  sim->links = g_new0 (SimLink, init->entries * init->agents);
+  sim->jobs = g_new0 (SimJob, init->jobs);
   for (guint i = 0; i < init->agents; i++)
     {
-      Node *agent = &world->agents[i];
+      Node *agent = &sim->agents[i];
 
       agent->index = i;
-      agent->world = world;
-      agent->clock_offset = g_rand_int_range (world->rand, -900, 1000000);
-      agent->server = lease_server_new (world->rand, &world->now, on_started, world);
-      agent_boot (agent);
+      agent->sim = sim;
+      agent->clock_offset = g_rand_int_range (sim->rand, -900, 1000000);
+      agent->server = lease_server_new (sim->rand, &sim->now, on_started, sim);
+      agent_start (agent);
     }
   for (guint i = 0; i < init->entries; i++)
     {
-      world->entries[i].index = i;
-      world->entries[i].is_entry = TRUE;
-      world->entries[i].world = world;
-      world->entries[i].clock_offset = g_rand_int_range (world->rand, -900, 1000000);
-      entry_boot (&world->entries[i]);
+      sim->entries[i].index = i;
+      sim->entries[i].is_entry = TRUE;
+      sim->entries[i].sim = sim;
+      sim->entries[i].clock_offset = g_rand_int_range (sim->rand, -900, 1000000);
+      entry_start (&sim->entries[i]);
     }
   for (guint i = 0; i < init->entries * init->agents; i++)
     {
-      world->wires[i].entry = &world->entries[i / init->agents];
-      world->wires[i].agent = &world->agents[i % init->agents];
-      world->wires[i].messages = g_queue_new ();
+      sim->links[i].entry = &sim->entries[i / init->agents];
+      sim->links[i].agent = &sim->agents[i % init->agents];
+      sim->links[i].messages = g_queue_new ();
     }
   for (guint i = 0; i < init->jobs; i++)
     {
-      WorldJob *job = &world->jobs[i];
+      SimJob *job = &sim->jobs[i];
 
       g_snprintf (job->id, sizeof job->id, "job-%u", i);
-      job->world = world;
+      job->sim = sim;
       job->only_refusals = TRUE;
-      job->tasks = (guint)g_rand_int_range (world->rand, 1, 5);
-      job->next_try = g_rand_int_range (world->rand, 2000, FAULTS_END_MS);
+      job->tasks = (guint)g_rand_int_range (sim->rand, 1, 5);
+      job->send_at = g_rand_int_range (sim->rand, 2000, FAULTS_END_MS);
     }
-  return world;
+  return sim;
 }
 
 void
-lease_sim_free (LeaseSim *world)
+lease_sim_free (LeaseSim *sim)
 {
-  for (guint i = 0; i < world->init.entries * world->init.agents; i++)
+  for (guint i = 0; i < sim->init.entries * sim->init.agents; i++)
     {
-      wire_break (&world->wires[i]);
-      g_queue_free (world->wires[i].messages);
+      link_close (&sim->links[i]);
+      g_queue_free (sim->links[i].messages);
     }
-  for (guint i = 0; i < world->init.entries; i++)
-    dispatcher_free (world->entries[i].dispatcher);
-  for (guint i = 0; i < world->init.agents; i++)
+  for (guint i = 0; i < sim->init.entries; i++)
+    dispatcher_free (sim->entries[i].dispatcher);
+  for (guint i = 0; i < sim->init.agents; i++)
     {
-      if (world->agents[i].runner != NULL)
-        runner_close (world->agents[i].runner);
-      lease_server_drop_calls (world->agents[i].server);
-      runner_free (world->agents[i].runner);
-      lease_server_free (world->agents[i].server);
+      if (sim->agents[i].runner != NULL)
+        runner_close (sim->agents[i].runner);
+      lease_server_drop_calls (sim->agents[i].server);
+      runner_free (sim->agents[i].runner);
+      lease_server_free (sim->agents[i].server);
     }
-  g_free (world->entries);
-  g_free (world->agents);
-  g_free (world->wires);
-  g_free (world->jobs);
-  g_rand_free (world->rand);
-  g_string_free (world->story, TRUE);
-  g_free (world->broken);
-  g_free (world);
+  g_free (sim->entries);
+  g_free (sim->agents);
+  g_free (sim->links);
+  g_free (sim->jobs);
+  g_rand_free (sim->rand);
+  g_string_free (sim->trace, TRUE);
+  g_free (sim->violation);
+  g_free (sim);
 }
 
 static void
-step_node (LeaseSim *world, Node *node)
+step_node (LeaseSim *sim, Node *node)
 {
-  boot_if_due (world, node);
-  if (!runs (node))
+  restart_if_due (sim, node);
+  if (!is_running (node))
     return;
   if (node->is_entry)
     {
-      if (world->now % DISPATCHER_TICK_MS == 0)
-        dispatcher_tick (node->dispatcher, clock_of (node));
-      dispatcher_pump (node->dispatcher, clock_of (node));
+      if (sim->now % DISPATCHER_TICK_MS == 0)
+        dispatcher_tick (node->dispatcher, node_clock (node));
+      dispatcher_pump (node->dispatcher, node_clock (node));
       return;
     }
-  if (world->now % 1500 == 0)
-    tell_facts (node);
-  lease_server_reply (node->server, clock_of (node));
-  if (world->now % RUNNER_TICK_MS == 0)
-    runner_tick (node->runner, clock_of (node));
+  if (sim->now % 1500 == 0)
+    send_facts (node);
+  lease_server_reply (node->server, node_clock (node));
+  if (sim->now % RUNNER_TICK_MS == 0)
+    runner_tick (node->runner, node_clock (node));
 }
 
 char *
-lease_sim_run (LeaseSim *world)
+lease_sim_run (LeaseSim *sim)
 {
-  guint n_wires = world->init.entries * world->init.agents;
+  guint n_links = sim->init.entries * sim->init.agents;
 
-  while (world->now < END_MS && world->broken == NULL)
+  while (sim->now < END_MS && sim->violation == NULL)
     {
-      world->now += STEP_MS;
-      if (world->init.faults && world->now < FAULTS_END_MS && chance (world, 0.006))
-        strike (world);
-      for (guint i = 0; i < world->init.agents; i++)
-        lease_server_step (world->agents[i].server);
-      for (guint i = 0; i < n_wires; i++)
+      sim->now += STEP_MS;
+      if (sim->init.faults && sim->now < FAULTS_END_MS && chance (sim, 0.006))
+        inject_fault (sim);
+      for (guint i = 0; i < sim->init.agents; i++)
+        lease_server_step (sim->agents[i].server);
+      for (guint i = 0; i < n_links; i++)
         {
-          check_silence (&world->wires[i]);
-          wire_connect (&world->wires[i]);
-          deliver (&world->wires[i]);
+          check_timeout (&sim->links[i]);
+          link_connect (&sim->links[i]);
+          deliver (&sim->links[i]);
         }
-      for (guint i = 0; i < world->init.agents; i++)
-        step_node (world, &world->agents[i]);
-      for (guint i = 0; i < world->init.entries; i++)
-        step_node (world, &world->entries[i]);
-      for (guint i = 0; i < world->init.jobs; i++)
-        follow_job (&world->jobs[i]);
-      for (guint i = 0; i < n_wires; i++)
+      for (guint i = 0; i < sim->init.agents; i++)
+        step_node (sim, &sim->agents[i]);
+      for (guint i = 0; i < sim->init.entries; i++)
+        step_node (sim, &sim->entries[i]);
+      for (guint i = 0; i < sim->init.jobs; i++)
+        follow_job (&sim->jobs[i]);
+      for (guint i = 0; i < n_links; i++)
         {
-          flush_entry (&world->wires[i]);
-          flush_agent (&world->wires[i]);
+          flush_entry (&sim->links[i]);
+          flush_agent (&sim->links[i]);
         }
-      check_promises (world);
+      check_invariants (sim);
     }
-  if (world->broken == NULL)
-    check_end (world);
-  return g_strdup (world->broken);
+  if (sim->violation == NULL)
+    check_end (sim);
+  return g_strdup (sim->violation);
 }
 
 const char *
-lease_sim_trace (const LeaseSim *world)
+lease_sim_trace (const LeaseSim *sim)
 {
-  return world->story->str;
+  return sim->trace->str;
 }
 
 const LeaseSimCounts *
-lease_sim_counts (const LeaseSim *world)
+lease_sim_counts (const LeaseSim *sim)
 {
-  return &world->counts;
+  return &sim->counts;
 }
--- a/tests/lease_sim.h
+++ b/tests/lease_sim.h
@@ -1,8 +1,7 @@
 #pragma once
-/* A world of a few entries, agents and backend servers in one process, on a clock of its
- * own, for tests that explore the leased hand-over: the real dispatchers and runners,
- * small fakes for the links between them and for the servers. Every choice comes from a
- * seed. */
+/* Deterministic simulation of a few entries, agents and backend servers in one process,
+ * for tests that explore the leased protocol: real dispatchers and runners; fake links,
+ * servers and clocks. All choices come from the seed. */
 #include <glib.h>
 
 typedef struct LeaseSim LeaseSim;
@@ -18,16 +17,16 @@
 } LeaseSimInit;
 
 LeaseSim *lease_sim_new (const LeaseSimInit *init);
-void lease_sim_free (LeaseSim *world);
+void lease_sim_free (LeaseSim *sim);
 
 /**
- * lease_sim_run - play it to its end.
- * Return: NULL, or the first promise that was broken, as text; free with g_free.
+ * lease_sim_run - run the simulation to its end.
+ * Return: NULL, or the first invariant violation as text; free with g_free ().
  */
-char *lease_sim_run (LeaseSim *world);
+char *lease_sim_run (LeaseSim *sim);
 
-/** lease_sim_trace - what happened, for the report of a failure. */
-const char *lease_sim_trace (const LeaseSim *world);
+/** lease_sim_trace - all events so far, one per line, for failure reports. */
+const char *lease_sim_trace (const LeaseSim *sim);
 
 typedef struct
 {
@@ -39,4 +38,4 @@
   guint faults;
 } LeaseSimCounts;
 
-const LeaseSimCounts *lease_sim_counts (const LeaseSim *world);
+const LeaseSimCounts *lease_sim_counts (const LeaseSim *sim);
--- a/tests/soak_parts.h
+++ b/tests/soak_parts.h
@@ -1,9 +1,9 @@
 #pragma once
-/* What the parts of the soak share: test-soak.c plays callers and checks, soak_faults.c
- * strikes and mends. */
+/* Shared by the parts of the soak test: test-soak.c plays the callers and checks results,
+ * soak_faults.c injects and ends faults. */
 #include "platform_scene.h"
 
-/* Half of the back ends stand in a zone that is closed at times. */
+/* Half of the backend servers are in a zone that is closed at times. */
 #define SOAK_ZONES 2
 
 typedef enum
@@ -15,60 +15,62 @@
   ON_STORE,
   ON_OPERATOR,
   ON_ZONE,
-  PLACES,
-} Place;
+  N_TARGET_KINDS,
+} TargetKind;
 
 typedef struct Soak Soak;
 
 typedef struct Fault
 {
   const char *name;
-  Place place;
+  TargetKind kind;
   void (*begin) (Soak *soak, const struct Fault *fault, guint target);
   void (*end) (Soak *soak, const struct Fault *fault, guint target);
-  const char *mode; /* of a stand-in */
+  const char *mode; /* fault mode of a stand-in */
 } Fault;
 
-/* One fault at a time on one target; on different ones they overlap. */
+/* One fault at a time per target; faults on different targets overlap. */
 typedef struct
 {
   const Fault *fault; /* NULL: none */
   gint64 until_ms;
-} Struck;
+} ActiveFault;
 
-/* Nothing may start in the closed zone. */
+/* Time in which nothing may start in the closed zone. */
 typedef struct
 {
   gint64 from_ms;
   gint64 until_ms;
-} FencedSpan;
+} ClosedSpan;
 
 struct Soak
 {
   PlatformScene scene;
   GRand *random;
-  Struck struck[PLACES][PLATFORM_MAX];
-  gboolean down[PLATFORM_MAX]; /* entries that take no calls now */
+  ActiveFault active[N_TARGET_KINDS][PLATFORM_MAX];
+  gboolean down[PLATFORM_MAX]; /* entries that were killed or told to exit */
   GPtrArray *requests;
-  GHashTable *starts; /* job -> number of starts */
-  GHashTable *done;   /* task -> itself */
+  GHashTable *starts; /* set of jobs of which a task started */
+  GHashTable *done;   /* set of completed tasks */
   gboolean closed;
-  gboolean spared; /* no new fault of the store while it is closed */
-  gint64 calm_ms;  /* since when the zone is closed and the store works; 0: not so */
-  GArray *fenced;  /* of FencedSpan */
+  gboolean store_spared;  /* no new store fault while the zone is closed */
+  gint64 closed_since_ms; /* zone closed and store working since; 0: not both */
+  GArray *closed_spans;   /* of ClosedSpan */
 };
 
-/** soak_inject_fault - begin a fault that is drawn. */
+/** soak_inject_fault - begin a random fault; none if its target already has one, or is
+ * the store while store_spared holds.
+ */
 void soak_inject_fault (Soak *soak);
 
-/** soak_end_faults - end the faults whose time is over, or all. */
+/** soak_end_faults - end the faults whose time has passed, or all. */
 void soak_end_faults (Soak *soak, gboolean all);
 
-/** soak_note_closed_zone - call it with each step: note when the zone is closed. */
+/** soak_note_closed_zone - call at each step: record when the zone is closed. */
 void soak_note_closed_zone (Soak *soak);
 
-/** soak_open_zone - at the end, unless it is open. */
+/** soak_open_zone - open the zone; call once all faults have ended. */
 void soak_open_zone (Soak *soak);
 
-/** soak_check_closed_zone - nothing started in the closed zone. */
+/** soak_check_closed_zone - assert that nothing started in the closed zone. */
 void soak_check_closed_zone (Soak *soak);
--- a/tests/test-soak.c
+++ b/tests/test-soak.c
@@ -1,8 +1,8 @@
-/* A randomized soak of the programs for the users' platform: real processes, callers that
- * keep their connections, and faults from outside that come in series and overlap. What
- * callers and back ends see is checked against the promises.
+/* Randomized soak test of the platform's daemons: real processes, callers on open
+ * connections, and overlapping faults injected from outside. Checks the answers of
+ * callers and the runs at backend servers against the service's guarantees.
  *
- * Without options the kept seeds are played. By hand: --seed=N, --seeds=N, --seconds=N,
+ * Without options the regression seeds run. Manual use: --seed=N, --seeds=N, --seconds=N,
  * --entries=N, --servers=N. */
 #include "clock.h"
 #include "soak_parts.h"
@@ -10,29 +10,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEPT_SECONDS 6
+#define DEFAULT_SECONDS 6
 #define STEP_MS 10
-/* A job about this often; tasks of up to RUN_MOST_MS. */
-#define JOB_EVERY_MS 40
-#define TASKS_MOST 8
-#define RUN_MOST_MS 400
-#define CRASHING_PART 0.01
-#define TRIES_MOST 3
-#define FAULT_EVERY_MS 250
-/* The operator's aim for a version that is confirmed once all faults are over. */
-#define APPLIED_MS 2000
+#define MEAN_JOB_INTERVAL_MS 40
+#define MAX_TASKS 8
+#define MAX_RUN_MS 400
+#define CRASHING_SHARE 0.01
+#define MAX_TRIES 3
+#define MEAN_FAULT_INTERVAL_MS 250
+/* Time limit for applying a confirmed configuration version when no fault is active. */
+#define MAX_APPLY_MS 2000
 #define ADDED_PREFIX "/more/0/"
-/* At least this part of the jobs must complete, whatever happens. */
-#define SERVED_PART 0.1
+/* At least this share of the jobs must complete despite the faults. */
+#define MIN_COMPLETED_SHARE 0.1
 
 static int option_seed = -1;
 static int option_seeds = 1;
-static int option_seconds = KEPT_SECONDS;
+static int option_seconds = DEFAULT_SECONDS;
 static int option_entries = 3;
 static int option_servers = 4;
 
-/* Each seed that ever failed, with its cause; and two that play often. */
-static const guint32 kept_seeds[] = { 1, 2 };
+/* Two default seeds, and each seed that ever failed, with its cause. */
+static const guint32 regression_seeds[] = { 1, 2 };
 
 typedef struct
 {
@@ -40,12 +39,12 @@
   guint tasks;
   char *body;
   guint tries;
-  guint not_run;      /* tries that were told so */
-  Exchange *exchange; /* under way */
-  gint64 again_ms;    /* when it is sent again */
+  guint n_not_run;    /* tries that were refused as not run */
+  Exchange *exchange; /* in progress, or NULL */
+  gint64 resend_ms;   /* time of the next try; 0: none */
   int status;         /* of the last try */
   gboolean completed;
-  gboolean crashes; /* ends the back ends that start its first task */
+  gboolean crashes; /* its first task crashes the backend server */
 } Request;
 
 /* Callers. */
@@ -57,10 +56,10 @@
 
   if (soak->down[entry])
     {
-      request->again_ms = clock_now_ms () + PLATFORM_RESEND_MS;
+      request->resend_ms = clock_now_ms () + PLATFORM_RESEND_MS;
       return;
     }
-  request->again_ms = 0;
+  request->resend_ms = 0;
   request->tries++;
   request->exchange = platform_call (&soak->scene, entry, request->number, request->body);
 }
@@ -71,20 +70,20 @@
   Request *request = g_new0 (Request, 1);
   char *spec;
 
-  request->crashes = g_rand_double (soak->random) < CRASHING_PART;
+  request->crashes = g_rand_double (soak->random) < CRASHING_SHARE;
   spec = g_strdup_printf ("%s%d", request->crashes ? "crash:" : "",
-                          g_rand_int_range (soak->random, 5, RUN_MOST_MS));
+                          g_rand_int_range (soak->random, 5, MAX_RUN_MS));
   request->number = ++soak->scene.jobs;
-  request->tasks = (guint)g_rand_int_range (soak->random, 1, TASKS_MOST + 1);
+  request->tasks = (guint)g_rand_int_range (soak->random, 1, MAX_TASKS + 1);
   request->body = platform_job (spec, request->tasks);
   g_ptr_array_add (soak->requests, request);
   send_request (soak, request);
   g_free (spec);
 }
 
-/* An answer that says nothing of the job, or none: its caller asks again elsewhere. */
+/* With no answer, or one that does not resolve the job, the caller resends elsewhere. */
 static void
-take_answer (Request *request)
+handle_answer (Request *request)
 {
   Exchange *exchange = g_steal_pointer (&request->exchange);
   gboolean answered = exchange->end == HTTP_ANSWERED;
@@ -97,45 +96,45 @@
     }
   else if (request->status == 503 || request->status == 429)
     {
-      request->not_run++;
+      request->n_not_run++;
       g_assert_cmpint (exchange->retry_after_s, >=, 0);
     }
-  else if (request->tries < TRIES_MOST)
+  else if (request->tries < MAX_TRIES)
     {
-      request->again_ms = clock_now_ms () + PLATFORM_RESEND_MS;
+      request->resend_ms = clock_now_ms () + PLATFORM_RESEND_MS;
     }
   exchange_free (exchange);
 }
 
-/* Return: whether some are still to be answered. */
+/* Return: whether any request is unanswered. */
 static gboolean
-follow_requests (Soak *soak)
+update_requests (Soak *soak)
 {
-  gboolean open = FALSE;
+  gboolean pending = FALSE;
 
   for (guint i = 0; i < soak->requests->len; i++)
     {
       Request *request = g_ptr_array_index (soak->requests, i);
 
       if (request->exchange != NULL && request->exchange->done)
-        take_answer (request);
-      if (request->again_ms > 0 && clock_now_ms () >= request->again_ms)
+        handle_answer (request);
+      if (request->resend_ms > 0 && clock_now_ms () >= request->resend_ms)
         send_request (soak, request);
-      open |= request->exchange != NULL || request->again_ms > 0;
+      pending |= request->exchange != NULL || request->resend_ms > 0;
     }
-  return open;
+  return pending;
 }
 
 static gboolean
 all_are_answered (gpointer ctx)
 {
-  return !follow_requests (ctx);
+  return !update_requests (ctx);
 }
 
 /* Checks. */
 
 static void
-note_moment (gboolean starts, const char *task, const char *how, gpointer ctx)
+note_run_event (gboolean starts, const char *task, const char *outcome, gpointer ctx)
 {
   Soak *soak = ctx;
   char *job = g_strndup (task, strcspn (task, "."));
@@ -144,7 +143,7 @@
     g_hash_table_add (soak->starts, job);
   else
     g_free (job);
-  if (strcmp (how, "done") == 0)
+  if (strcmp (outcome, "done") == 0)
     g_hash_table_add (soak->done, g_strdup (task));
 }
 
@@ -154,16 +153,16 @@
   char *job = g_strdup_printf ("%016x", request->number);
 
   if (request->completed && request->crashes)
-    g_error ("job %s is complete, though its first task never ends", job);
-  if (request->tries > 0 && request->not_run == request->tries
+    g_error ("job %s completed, but its first task always crashes", job);
+  if (request->tries > 0 && request->n_not_run == request->tries
       && g_hash_table_contains (soak->starts, job))
-    g_error ("job %s was refused as not run, and ran", job);
+    g_error ("job %s was refused as not run, but ran", job);
   for (guint i = 0; request->completed && i < request->tasks; i++)
     {
       char *task = g_strdup_printf ("%s.0.0.%u", job, i);
 
       if (!g_hash_table_contains (soak->done, task))
-        g_error ("job %s is complete, and %s never ended", job, task);
+        g_error ("job %s completed, but %s never ended", job, task);
       g_free (task);
     }
   g_free (job);
@@ -173,7 +172,7 @@
 check_all (Soak *soak)
 {
   guint completed = 0;
-  guint starts = platform_check_runs (&soak->scene, note_moment, soak);
+  guint starts = platform_check_runs (&soak->scene, note_run_event, soak);
 
   for (guint i = 0; i < soak->requests->len; i++)
     {
@@ -184,7 +183,7 @@
     }
   g_test_message ("%u of %u jobs completed, %u runs", completed, soak->requests->len,
                   starts);
-  g_assert_cmpuint (completed, >, (guint)(SERVED_PART * soak->requests->len));
+  g_assert_cmpuint (completed, >, (guint)(MIN_COMPLETED_SHARE * soak->requests->len));
 }
 
 static void
@@ -199,7 +198,7 @@
 }
 
 static gboolean
-is_calm (gpointer ctx)
+is_ready (gpointer ctx)
 {
   PlatformScene *scene = ctx;
   guint ready = 0;
@@ -210,7 +209,7 @@
 }
 
 static gboolean
-is_added_in_force (gpointer ctx)
+is_new_config_applied (gpointer ctx)
 {
   PlatformScene *scene = ctx;
 
@@ -221,18 +220,18 @@
 }
 
 static void
-check_configuration (PlatformScene *scene)
+check_config_applied (PlatformScene *scene)
 {
   gint64 confirmed_ms;
 
   platform_put_routes (scene, PLATFORM_PREFIX, 1);
   confirmed_ms = clock_now_ms ();
-  harness_wait (scene->harness, is_added_in_force, scene, "the last configuration");
-  g_assert_cmpint (clock_now_ms () - confirmed_ms, <=, APPLIED_MS);
+  harness_wait (scene->harness, is_new_config_applied, scene, "the last configuration");
+  g_assert_cmpint (clock_now_ms () - confirmed_ms, <=, MAX_APPLY_MS);
 }
 
 static void
-play (Soak *soak, guint seconds)
+run_load (Soak *soak, guint seconds)
 {
   gint64 end = clock_now_ms () + (gint64)seconds * 1000;
   gint64 job_ms = 0;
@@ -243,17 +242,18 @@
       if (clock_now_ms () >= job_ms)
         {
           new_request (soak);
-          job_ms = clock_now_ms () + g_rand_int_range (soak->random, 1, 2 * JOB_EVERY_MS);
+          job_ms = clock_now_ms ()
+                   + g_rand_int_range (soak->random, 1, 2 * MEAN_JOB_INTERVAL_MS);
         }
       if (clock_now_ms () >= fault_ms)
         {
           soak_inject_fault (soak);
-          fault_ms
-              = clock_now_ms () + g_rand_int_range (soak->random, 1, 2 * FAULT_EVERY_MS);
+          fault_ms = clock_now_ms ()
+                     + g_rand_int_range (soak->random, 1, 2 * MEAN_FAULT_INTERVAL_MS);
         }
       soak_note_closed_zone (soak);
       soak_end_faults (soak, FALSE);
-      follow_requests (soak);
+      update_requests (soak);
       harness_run_ms (soak->scene.harness, STEP_MS);
     }
 }
@@ -273,17 +273,17 @@
   soak.requests = g_ptr_array_new_with_free_func (request_free);
   soak.starts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   soak.done = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  soak.fenced = g_array_new (FALSE, FALSE, sizeof (FencedSpan));
-  play (&soak, seconds);
+  soak.closed_spans = g_array_new (FALSE, FALSE, sizeof (ClosedSpan));
+  run_load (&soak, seconds);
   soak_note_closed_zone (&soak);
   soak_end_faults (&soak, TRUE);
   soak_open_zone (&soak);
-  check_configuration (&soak.scene);
+  check_config_applied (&soak.scene);
   harness_wait (soak.scene.harness, all_are_answered, &soak, "answers");
-  harness_wait (soak.scene.harness, is_calm, &soak.scene, "service as before");
+  harness_wait (soak.scene.harness, is_ready, &soak.scene, "all entries to be ready");
   check_all (&soak);
   soak_check_closed_zone (&soak);
-  g_array_unref (soak.fenced);
+  g_array_unref (soak.closed_spans);
   g_ptr_array_unref (soak.requests);
   g_hash_table_unref (soak.starts);
   g_hash_table_unref (soak.done);
@@ -292,13 +292,13 @@
 }
 
 static void
-test_kept (gconstpointer data)
+test_regression (gconstpointer data)
 {
-  soak_seed (*(const guint32 *)data, KEPT_SECONDS);
+  soak_seed (*(const guint32 *)data, DEFAULT_SECONDS);
 }
 
 static void
-test_fresh (void)
+test_new_seeds (void)
 {
   for (int i = 0; i < option_seeds; i++)
     soak_seed ((guint32)(option_seed + i), (guint)option_seconds);
@@ -307,13 +307,15 @@
 int
 main (int argc, char **argv)
 {
-  const GOptionEntry entries[]
-      = { { "seed", 0, 0, G_OPTION_ARG_INT, &option_seed, "first seed", "N" },
-          { "seeds", 0, 0, G_OPTION_ARG_INT, &option_seeds, "how many seeds", "N" },
-          { "seconds", 0, 0, G_OPTION_ARG_INT, &option_seconds, "of each seed", "N" },
-          { "entries", 0, 0, G_OPTION_ARG_INT, &option_entries, "entries", "N" },
-          { "servers", 0, 0, G_OPTION_ARG_INT, &option_servers, "back ends", "N" },
-          { NULL } };
+  const GOptionEntry entries[] = {
+    { "seed", 0, 0, G_OPTION_ARG_INT, &option_seed, "first seed", "N" },
+    { "seeds", 0, 0, G_OPTION_ARG_INT, &option_seeds, "number of seeds", "N" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &option_seconds, "duration per seed", "N" },
+    { "entries", 0, 0, G_OPTION_ARG_INT, &option_entries, "number of entries", "N" },
+    { "servers", 0, 0, G_OPTION_ARG_INT, &option_servers, "number of backend servers",
+      "N" },
+    { NULL }
+  };
   GOptionContext *context = g_option_context_new (NULL);
 
   g_option_context_add_main_entries (context, entries, NULL);
@@ -324,12 +326,12 @@
   g_option_context_free (context);
   g_test_init (&argc, &argv, NULL);
   if (option_seed >= 0)
-    g_test_add_func ("/soak/fresh", test_fresh);
-  for (gsize i = 0; option_seed < 0 && i < G_N_ELEMENTS (kept_seeds); i++)
+    g_test_add_func ("/soak/fresh", test_new_seeds);
+  for (gsize i = 0; option_seed < 0 && i < G_N_ELEMENTS (regression_seeds); i++)
     {
-      char *path = g_strdup_printf ("/soak/seed-%u", kept_seeds[i]);
+      char *path = g_strdup_printf ("/soak/seed-%u", regression_seeds[i]);
 
-      g_test_add_data_func (path, &kept_seeds[i], test_kept);
+      g_test_add_data_func (path, &regression_seeds[i], test_regression);
       g_free (path);
     }
   return g_test_run ();
