--- a/tests/test-properties.cc
+++ b/tests/test-properties.cc
@@ -1,4 +1,4 @@
-/* Properties of the pure modules, driven by thousands of seeded random sequences.
+/* Property tests of modules without I/O, over thousands of seeded random sequences.
  * rapidcheck shrinks a failing sequence and prints it. */
 #include <rapidcheck.h>
 
@@ -23,20 +23,20 @@
 
 using TaskId = std::pair<unsigned, unsigned>; /* job, index */
 
-/* The owner, and what an onlooker knows of it. */
+/* The slot owner, and what the test has observed of it. */
 
-struct LongPoll
+struct OwnerObserver
 {
   Owner *owner = nullptr;
   std::map<TaskId, unsigned> starts;
   std::set<TaskId> running;
-  std::map<TaskId, unsigned> fenced; /* no start under attempts up to this */
-  unsigned told = 0;
-  bool broken = false;
+  std::map<TaskId, unsigned> fences; /* no start under attempts up to this one */
+  unsigned reports = 0;
+  bool fence_violated = false;
 };
 
 TaskId
-id_of (const TaskKey &key)
+task_id (const TaskKey &key)
 {
   return { static_cast<unsigned> (key.job.number), key.index };
 }
@@ -44,28 +44,28 @@
 void
 on_start (const OwnerTask *task, const char *, const void *, gsize, gpointer ctx)
 {
-  auto *watch = static_cast<LongPoll *> (ctx);
-  TaskId id = id_of (task->key);
-
-  watch->starts[id]++;
-  watch->running.insert (id);
-  auto fence = watch->fenced.find (id);
-  if (fence != watch->fenced.end () && task->attempt <= fence->second)
-    watch->broken = true;
+  auto *observer = static_cast<OwnerObserver *> (ctx);
+  TaskId id = task_id (task->key);
+
+  observer->starts[id]++;
+  observer->running.insert (id);
+  auto fence = observer->fences.find (id);
+  if (fence != observer->fences.end () && task->attempt <= fence->second)
+    observer->fence_violated = true;
 }
 
 void
-on_tell (const OwnerTask *, gpointer ctx)
+on_report (const OwnerTask *, gpointer ctx)
 {
-  static_cast<LongPoll *> (ctx)->told++;
+  static_cast<OwnerObserver *> (ctx)->reports++;
 }
 
-/* Names for a failing sequence as it is printed. */
-const char *const step_names[]
+/* For printing a failing sequence. */
+const char *const kind_names[]
     = { "start", "finish", "finish-not-sent", "fence-task", "fence-job", "ack",
         "leave", "back",   "expire" };
 
-enum class Step
+enum class StepKind
 {
   start,
   finish,
@@ -78,45 +78,46 @@
   expire,
 };
 
-struct Move
+struct OwnerStep
 {
-  Step step;
+  StepKind kind;
   unsigned job;
   unsigned index;
   unsigned attempt;
-  int late;
+  int lease; /* 0: it has expired */
 };
 
 std::ostream &
-operator<< (std::ostream &out, const Move &move)
+operator<< (std::ostream &out, const OwnerStep &step)
 {
-  return out << step_names[static_cast<int> (move.step)] << " " << move.job << "/"
-             << move.index << " attempt " << move.attempt
-             << (move.late == 0 ? " late" : "");
+  return out << kind_names[static_cast<int> (step.kind)] << " " << step.job << "/"
+             << step.index << " attempt " << step.attempt
+             << (step.lease == 0 ? " lease expired" : "");
 }
 
 }
 
 namespace rc
 {
-template <> struct Arbitrary<Move>
+template <> struct Arbitrary<OwnerStep>
 {
-  static Gen<Move> arbitrary ()
+  static Gen<OwnerStep> arbitrary ()
   {
-    return gen::build<Move> (
-        gen::set (&Move::step, gen::weightedElement<Step> ({ { 10, Step::start },
-                                                             { 6, Step::finish },
-                                                             { 1, Step::finish_not_sent },
-                                                             { 2, Step::fence_task },
-                                                             { 1, Step::fence_job },
-                                                             { 3, Step::ack },
-                                                             { 1, Step::leave },
-                                                             { 1, Step::back },
-                                                             { 1, Step::expire } })),
-        gen::set (&Move::job, gen::inRange (0u, 3u)),
-        gen::set (&Move::index, gen::inRange (0u, 4u)),
-        gen::set (&Move::attempt, gen::inRange (1u, 8u)),
-        gen::set (&Move::late, gen::inRange (0, 10)));
+    return gen::build<OwnerStep> (
+        gen::set (&OwnerStep::kind,
+                  gen::weightedElement<StepKind> ({ { 10, StepKind::start },
+                                                    { 6, StepKind::finish },
+                                                    { 1, StepKind::finish_not_sent },
+                                                    { 2, StepKind::fence_task },
+                                                    { 1, StepKind::fence_job },
+                                                    { 3, StepKind::ack },
+                                                    { 1, StepKind::leave },
+                                                    { 1, StepKind::back },
+                                                    { 1, StepKind::expire } })),
+        gen::set (&OwnerStep::job, gen::inRange (0u, 3u)),
+        gen::set (&OwnerStep::index, gen::inRange (0u, 4u)),
+        gen::set (&OwnerStep::attempt, gen::inRange (1u, 8u)),
+        gen::set (&OwnerStep::lease, gen::inRange (0, 10)));
   }
 };
 }
@@ -127,100 +128,100 @@
 constexpr unsigned SLOTS = 3;
 
 void
-finish (LongPoll &watch, const TaskKey &key, bool sent, gint64 now)
+finish (OwnerObserver &observer, const TaskKey &key, bool sent, gint64 now)
 {
-  if (watch.running.erase (id_of (key)) == 0)
+  if (observer.running.erase (task_id (key)) == 0)
     return;
   if (!sent)
-    watch.starts[id_of (key)]--; /* proved not to have run: one more start is allowed */
-  owner_finish (watch.owner, &key,
+    observer.starts[task_id (key)]--; /* proved not to have run: may start once more */
+  owner_finish (observer.owner, &key,
                 sent ? GW__OUTCOME__KIND__ANSWERED : GW__OUTCOME__KIND__NOT_RUN,
                 GW__OUTCOME__REASON__NONE, 200, nullptr, now);
 }
 
 void
-fence (LongPoll &watch, const Move &move, const TaskKey &key, gint64 now)
+fence (OwnerObserver &observer, const OwnerStep &step, const TaskKey &key, gint64 now)
 {
-  guint32 index = move.index;
-  bool whole = move.step == Step::fence_job;
-  GPtrArray *started
-      = owner_fence (watch.owner, &key.job, move.attempt, &index, whole ? 0 : 1, 1, now);
+  guint32 index = step.index;
+  bool whole_job = step.kind == StepKind::fence_job;
+  GPtrArray *started = owner_fence (observer.owner, &key.job, step.attempt, &index,
+                                    whole_job ? 0 : 1, 1, now);
 
   for (unsigned i = 0; i < 4; i++)
-    if (whole || i == move.index)
+    if (whole_job || i == step.index)
       {
-        unsigned &up_to = watch.fenced[{ move.job, i }];
+        unsigned &up_to = observer.fences[{ step.job, i }];
 
-        up_to = std::max (up_to, move.attempt);
+        up_to = std::max (up_to, step.attempt);
       }
   g_ptr_array_unref (started);
 }
 
 void
-carry_out (LongPoll &watch, const Move &move, gint64 now)
+perform (OwnerObserver &observer, const OwnerStep &step, gint64 now)
 {
-  TaskKey key = { { 7, move.job }, move.index };
+  TaskKey key = { { 7, step.job }, step.index };
 
-  switch (move.step)
+  switch (step.kind)
     {
-    case Step::start:
-      owner_start (watch.owner, &key, move.attempt, 1, "/", "", 0,
-                   move.late == 0 ? now - 1 : now + 1000, now);
+    case StepKind::start:
+      owner_start (observer.owner, &key, step.attempt, 1, "/", "", 0,
+                   step.lease == 0 ? now - 1 : now + 1000, now);
       break;
-    case Step::finish:
-    case Step::finish_not_sent:
-      finish (watch, key, move.step == Step::finish, now);
+    case StepKind::finish:
+    case StepKind::finish_not_sent:
+      finish (observer, key, step.kind == StepKind::finish, now);
       break;
-    case Step::fence_task:
-    case Step::fence_job:
-      fence (watch, move, key, now);
+    case StepKind::fence_task:
+    case StepKind::fence_job:
+      fence (observer, step, key, now);
       break;
-    case Step::ack:
-      owner_ack (watch.owner, &key, move.attempt);
+    case StepKind::ack:
+      owner_ack (observer.owner, &key, step.attempt);
       break;
-    case Step::leave:
-    case Step::back:
-      owner_set_leaving (watch.owner, move.step == Step::leave);
+    case StepKind::leave:
+    case StepKind::back:
+      owner_set_leaving (observer.owner, step.kind == StepKind::leave);
       break;
-    case Step::expire:
-      owner_expire (watch.owner, now);
+    case StepKind::expire:
+      owner_expire (observer.owner, now);
       break;
     }
 }
 
 void
-owner_property (const std::vector<Move> &moves)
+owner_property (const std::vector<OwnerStep> &steps)
 {
-  OwnerOps ops = { on_start, on_tell };
+  OwnerOps ops = { on_start, on_report };
   OwnerLimits limits = { SLOTS, 1 << 20 };
-  LongPoll watch;
+  OwnerObserver observer;
   gint64 now = 1000;
 
-  watch.owner = owner_new (&limits, &ops, &watch);
-  for (const Move &move : moves)
+  observer.owner = owner_new (&limits, &ops, &observer);
+  for (const OwnerStep &step : steps)
     {
-      unsigned told = watch.told;
-      size_t running = watch.running.size ();
+      unsigned reports = observer.reports;
+      size_t running = observer.running.size ();
 
       now += 10;
-      carry_out (watch, move, now);
-      RC_ASSERT (!watch.broken);
-      RC_ASSERT (owner_busy (watch.owner) == watch.running.size ());
-      RC_ASSERT (owner_busy (watch.owner) <= SLOTS);
-      for (const auto &start : watch.starts)
+      perform (observer, step, now);
+      RC_ASSERT (!observer.fence_violated);
+      RC_ASSERT (owner_busy (observer.owner) == observer.running.size ());
+      RC_ASSERT (owner_busy (observer.owner) <= SLOTS);
+      for (const auto &start : observer.starts)
         RC_ASSERT (start.second <= 1);
-      /* A start is taken, refused aloud, or repeats what runs or is settled. */
-      if (move.step == Step::start && watch.running.size () == running
-          && watch.told == told)
-        RC_ASSERT (watch.starts.count ({ move.job, move.index }) > 0);
+      /* A start runs the task, reports a refusal, or repeats a task already started. */
+      if (step.kind == StepKind::start && observer.running.size () == running
+          && observer.reports == reports)
+        RC_ASSERT (observer.starts.count ({ step.job, step.index }) > 0);
     }
-  owner_free (watch.owner);
+  owner_free (observer.owner);
 }
 
 /* The queue. */
 
 TeamShare
-share_of (const char *team, gpointer)
+team_share (const char *team, gpointer)
 {
   return { 1.0, team[0] == 'c' ? 2u : 0u };
 }
@@ -228,7 +229,7 @@
 void
 queue_property (const std::vector<unsigned> &choices)
 {
-  QueueOps ops = { share_of };
+  QueueOps ops = { team_share };
   Queue *queue = queue_new (&ops, nullptr, 0.1);
   std::vector<QueueJob *> running;
   unsigned waiting = 0;
@@ -237,10 +238,10 @@
 
   for (unsigned choice : choices)
     {
-      unsigned what = choice % 4;
+      unsigned action = choice % 4;
       unsigned amount = choice / 4 % 5 + 1;
 
-      if (what == 0)
+      if (action == 0)
         {
           QueueJobInit init = {};
           init.key.number = ++number;
@@ -251,7 +252,7 @@
           queue_push (queue, queue_add (queue, &init), amount);
           waiting += amount;
         }
-      else if (what == 1)
+      else if (action == 1)
         {
           QueueJob *job = queue_pick (queue, 6);
 
@@ -268,8 +269,8 @@
           QueueJob *job = running[choice % running.size ()];
 
           running.erase (running.begin () + choice % running.size ());
-          queue_finished (queue, job, what == 3);
-          waiting += what == 3;
+          queue_finished (queue, job, action == 3);
+          waiting += action == 3;
         }
       RC_ASSERT (queue_waiting (queue) == waiting);
       RC_ASSERT (queue_running (queue) == running.size ());
@@ -291,13 +292,13 @@
 }
 
 gboolean
-never (gpointer)
+never_complete (gpointer)
 {
   return FALSE;
 }
 
 gboolean
-always_have (guint64, gpointer)
+always_present (guint64, gpointer)
 {
   return TRUE;
 }
@@ -308,7 +309,7 @@
   struct event_base *base = event_base_new ();
   Table *table = table_new (base, nullptr, 10);
   ConfigTimes times = { 1000, 1000 };
-  ConfigOps ops = { on_adopted, never, always_have };
+  ConfigOps ops = { on_adopted, never_complete, always_present };
   Config *config = config_new (base, table, &times, &ops, nullptr);
   guint64 highest = 0;
 
@@ -326,7 +327,7 @@
   event_base_free (base);
 }
 
-/* Hostile bytes. */
+/* Arbitrary input. */
 
 void
 command_property (const std::string &text)
