--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,14 +1,14 @@
 #!/bin/sh
 # Builds and runs the bench: "bench.sh [--seed N] [--quick] [--only SCENARIO] [--against REV]".
-# One line for each figure, "name value bound ok" or "... MISSED"; exit code 1 if any missed
-# its bound. With --against each scenario runs again with the daemons of that revision.
+# Prints one line per figure, "name value bound ok" or "... MISSED"; exit code 1 if any missed
+# its bound. With --against each scenario also runs with the daemons of that revision.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/install.sh
 [ -d build ] || meson setup build >/dev/null
 ninja -C build >/dev/null
 
-# Each argument but "--against REV" goes on to the bench.
+# Passes all arguments but "--against REV" to the bench.
 revision=
 n=$#
 while [ "$n" -gt 0 ]; do
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Everything that must pass: format, lint, build, tests, the same tests under
-# AddressSanitizer and UBSan, a short fuzzing run. Needs a Debian machine and nothing else.
+# Runs all checks: format, build, lint, tests, the same tests under AddressSanitizer and
+# UBSan, a short fuzzing run. Needs nothing but a Debian machine.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/install.sh
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Builds godwitspar, starts two entries, a stand-in for the platform, three backend servers
-# with agents and one without, submits a job of 130 tasks and shows what came of it.
+# with agents and one without, submits a job of 130 tasks and shows the result.
 # Its last line is "demo: 130 of 130 answered once"; exit code 1 otherwise.
 set -eu
 cd "$(dirname "$0")/.."
@@ -17,7 +17,7 @@
 trap finish EXIT
 trap 'exit 1' INT TERM
 
-# start NAME COMMAND...: in the background, its log in $work/NAME.log
+# start NAME COMMAND...: runs it in the background and logs to $work/NAME.log
 start() {
   name=$1
   shift
@@ -25,7 +25,7 @@
   pids="$pids $!"
 }
 
-# address NAME KIND: where it listens, once it does
+# address NAME KIND: waits until NAME listens and prints its address
 address() {
   tries=0
   while [ $tries -lt 200 ]; do
@@ -71,7 +71,7 @@
 tries=0
 while [ "$($shell --json show backends where state = up | jq length)" -lt 4 ]; do
   tries=$((tries + 1))
-  [ $tries -lt 200 ] || { echo "demo: the backend servers do not come up"; exit 1; }
+  [ $tries -lt 200 ] || { echo "demo: the backend servers did not come up"; exit 1; }
   sleep 0.05
 done
 
@@ -99,7 +99,7 @@
 echo '== counters of the entry that took it'
 $shell show counters | grep -E '^(jobs_complete|starts_sent|frames_|process_)' || true
 
-# Counted from the backend servers' own start logs.
+# Counts starts in the backend servers' own logs.
 for server in $servers; do curl -s "http://$server/starts"; done | awk '{print $2}' |
   grep "^$job/" | sort | uniq -c | awk '$1 == 1' | wc -l >"$work/once"
 answered=$(jq '[.answers[] | select(.status == 200)] | length' "$work/answer.json")
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the Debian packages of packages.txt that are missing.
+# Installs missing Debian packages listed in packages.txt.
 set -eu
 cd "$(dirname "$0")"
 missing=$(xargs -n1 sh -c 'dpkg-query -W -f="\${Status}" "$0" 2>/dev/null | grep -q "ok installed" || echo "$0"' <packages.txt)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Shows each proof failing: takes one mechanism out of a copy of the sources, builds it, and
-# runs the test that is to notice. "mutants.sh [NAME]". Not part of CI; docs/PROOFS.md names
-# the mutants and what the tests said.
+# Mutation tests: removes one mechanism at a time from a copy of the sources, builds it and
+# runs the test that must fail. "mutants.sh [NAME]". Not part of CI; docs/PROOFS.md lists the
+# mutants and the test results.
 set -eu
 cd "$(dirname "$0")/.."
 only=${1:-}
@@ -22,7 +22,7 @@
 path, old, new = sys.argv[1:]
 text = open(path).read()
 if text.count(old) != 1:
-    sys.exit("the text to change stands %d times in %s" % (text.count(old), path))
+    sys.exit("the text to change occurs %d times in %s" % (text.count(old), path))
 open(path, "w").write(text.replace(old, new))
 P
   if ! ninja -C "$work/build" >"$work/ninja.log" 2>&1; then
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Runs all tests of one build folder. Tests named in KNOWN-RED.txt may fail; they are
+# Runs all tests of a build folder. Tests listed in KNOWN-RED.txt may fail; they are
 # printed. The last line is "N passed, N failed".
 set -u
 cd "$(dirname "$0")/.."
@@ -7,8 +7,8 @@
 passed=0
 failed=0
 
-# A test that ends by a signal names no path. Only the symptom that KNOWN-RED.txt gives for
-# it, as abort="...", is passed over; any other end of the same test counts.
+# A test killed by a signal prints no test path. It counts as known only if its output has
+# the symptom that KNOWN-RED.txt gives as abort="..."; otherwise it counts as failed.
 is_known_abort() {
   [ -f KNOWN-RED.txt ] || return 1
   known_symptom=$(sed -n "s/^$name: .*abort=\"\([^\"]*\)\".*/\1/p" KNOWN-RED.txt)
--- a/scripts/vary-site.sh
+++ b/scripts/vary-site.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# Writes a changed copy of a site file of the users' bench, for deployments that nobody has
-# tuned for: "vary-site.sh SEED <SITE >COPY". Work a second stays about the same; its shape
-# differs by kind of request: run times from half to twice as long with as much fewer tasks
-# of it, or shorter and wider; estimates off by 0.1 to 1; other objectives and spreads.
+# Writes a randomized copy of a site file of the users' bench, to test deployments that the
+# defaults were not tuned for: "vary-site.sh SEED <SITE >COPY". Work per second stays about
+# the same. Per kind of request, run times vary from half to twice as long and task counts
+# inversely; estimates are off by 0.1 to 1; objectives and spreads vary too.
 set -eu
 [ $# -eq 1 ] || { echo "usage: vary-site.sh SEED <SITE >COPY" >&2; exit 1; }
 exec awk -v seed="$1" '
   function between(low, high) { return low + rand() * (high - low) }
-  # The number behind the first "name = " after the text "after", times factor.
+  # Multiplies by factor the number after the first "name = " that follows the text "after".
   function scale(after, name, factor,    start, head, rest, value) {
     start = index($0, after)
     if (start == 0) return
