--- a/tests/lease_sim.c
+++ b/tests/lease_sim.c
@@ -14,7 +14,7 @@
 #define FAULTS_END_MS 20000
 #define END_MS 52000
 /* No request sent this long after the last fault may be given up. */
-#define CALM_MS 4000
+#define RECOVERY_MS 4000
 #define CAPACITY 4000
 #define CALLER_TIMEOUT_MS 4000
 #define MAX_REQUESTS 6
@@ -651,7 +651,7 @@
       break;
     case LEASED_GIVEN_UP:
       sim->counts.given_up++;
-      if (request->deadline > FAULTS_END_MS + CALM_MS + CALLER_TIMEOUT_MS)
+      if (request->deadline > FAULTS_END_MS + RECOVERY_MS + CALLER_TIMEOUT_MS)
         report_violation (sim, "%s was given up without a fault", job->id);
       schedule_resend (job);
       break;
