--- a/tests/test-soak.c
+++ b/tests/test-soak.c
@@ -18,7 +18,7 @@
 #define CRASHING_SHARE 0.01
 #define MAX_TRIES 3
 #define MEAN_FAULT_INTERVAL_MS 250
-/* Time limit for applying a confirmed configuration version when no fault is active. */
+/* The operator's time limit for applying a confirmed version when no fault is active. */
 #define MAX_APPLY_MS 2000
 #define ADDED_PREFIX "/more/0/"
 /* At least this share of the jobs must complete despite the faults. */
@@ -44,7 +44,7 @@
   gint64 resend_ms;   /* time of the next try; 0: none */
   int status;         /* of the last try */
   gboolean completed;
-  gboolean crashes; /* its first task crashes the backend server */
+  gboolean crashes; /* its first task crashes each backend server that starts it */
 } Request;
 
 /* Callers. */
