--- a/standins/backend.c
+++ b/standins/backend.c
@@ -1,10 +1,11 @@
-/* A stand-in for a backend server. A task's payload is "MS" or "MS:ANYTHING": it sleeps
- * MS milliseconds and answers with the payload. "fail:STATUS" answers with that status,
- * "big:BYTES" with so many bytes. Every start is logged by task id before anything else:
- * GET /starts lists them, one "MILLISECONDS ID" a line.
+/* Stand-in (fake) for a backend server. The payload of a task selects the response:
+ * "MS" or "MS:ANYTHING" echoes the payload after MS milliseconds, "fail:STATUS" returns
+ * that status, "big:BYTES" returns a body of that size. Every start is logged before it
+ * is processed; GET /starts returns the log, one "MILLISECONDS TASK_ID" per line.
  *
- * POST /faults?mode=MODE switches: "ok"; "fail" (500 at once); "hang" (never answers);
- * "slow" (four times as long); "drop" (closes the connection after the start). */
+ * POST /faults?mode=MODE sets the fault mode: "ok"; "fail" (500 at once); "hang" (never
+ * responds); "slow" (four times as long); "drop" (closes the connection after the
+ * start). */
 #include "clock.h"
 #include "http.h"
 #include "listen.h"
@@ -67,7 +68,7 @@
 }
 
 static void
-on_ran (evutil_socket_t fd, short what, void *ctx)
+on_run_done (evutil_socket_t fd, short what, void *ctx)
 {
   Run *run = ctx;
 
@@ -82,7 +83,7 @@
 }
 
 static void
-on_gone (struct evhttp_connection *connection, void *ctx)
+on_closed (struct evhttp_connection *connection, void *ctx)
 {
   Run *run = ctx;
 
@@ -90,7 +91,7 @@
 }
 
 static void
-make_big (Run *run, guint64 size)
+set_big_payload (Run *run, guint64 size)
 {
   run->size = MIN (size, BIG_MAX);
   g_free (run->payload);
@@ -126,7 +127,7 @@
   if (g_str_has_prefix (run->payload, "fail:"))
     run->status = atoi (run->payload + strlen ("fail:"));
   else if (g_str_has_prefix (run->payload, "big:"))
-    make_big (run, g_ascii_strtoull (run->payload + strlen ("big:"), NULL, 10));
+    set_big_payload (run, g_ascii_strtoull (run->payload + strlen ("big:"), NULL, 10));
   else
     ms = (guint)atoi (run->payload);
   if (backend->mode == MODE_FAIL)
@@ -142,11 +143,11 @@
                        &delay);
       return;
     }
-  evhttp_connection_set_closecb (connection, on_gone, run);
+  evhttp_connection_set_closecb (connection, on_closed, run);
   if (backend->mode == MODE_HANG)
     return;
   delay = timeval_from_ms (ms);
-  event_base_once (backend->base, -1, EV_TIMEOUT, on_ran, run, &delay);
+  event_base_once (backend->base, -1, EV_TIMEOUT, on_run_done, run, &delay);
 }
 
 static void
@@ -183,7 +184,7 @@
 }
 
 static void
-on_announced (const HttpAnswer *answer, gpointer ctx)
+on_announce_done (const HttpAnswer *answer, gpointer ctx)
 {
 }
 
@@ -201,7 +202,7 @@
                     .body = body,
                     .size = strlen (body),
                     .timeout_ms = ANNOUNCE_MS,
-                    .done = on_announced,
+                    .done = on_announce_done,
                     .ctx = backend };
 
   if (backend->entry != NULL && !backend->silent)
@@ -210,12 +211,12 @@
 }
 
 static void
-on_announce (evutil_socket_t fd, short what, void *ctx)
+on_announce_timer (evutil_socket_t fd, short what, void *ctx)
 {
   announce (ctx);
 }
 
-/* POST /leave?how=announced or ?how=silent */
+/* POST /leave?how=announced announces the departure; ?how=silent stops announcing. */
 static void
 serve_leave (Backend *backend, struct evhttp_request *request)
 {
@@ -266,7 +267,7 @@
   struct event *timer;
   struct timeval interval = timeval_from_ms (ANNOUNCE_MS);
   const GOptionEntry entries[] = {
-    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Where to serve", "IP:PORT" },
+    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Address to listen on", "IP:PORT" },
     { "announce", 0, 0, G_OPTION_ARG_STRING, &entry, "Announce to this entry",
       "IP:PORT" },
     { "name", 0, 0, G_OPTION_ARG_STRING, &backend.name, "Name announced", "NAME" },
@@ -295,7 +296,7 @@
   backend.name = backend.name != NULL ? backend.name : g_strdup ("standin");
   backend.service = backend.service != NULL ? backend.service : g_strdup ("exchange");
   backend.zone = backend.zone != NULL ? backend.zone : g_strdup ("zone-1");
-  timer = event_new (backend.base, -1, EV_PERSIST, on_announce, &backend);
+  timer = event_new (backend.base, -1, EV_PERSIST, on_announce_timer, &backend);
   event_add (timer, &interval);
   announce (&backend);
   event_add (evsignal_new (backend.base, SIGTERM, on_term, backend.base), NULL);
--- a/standins/hold.c
+++ b/standins/hold.c
@@ -7,30 +7,30 @@
   struct event *timer;
   HoldServe serve;
   gpointer ctx;
-} Held;
+} HeldRequest;
 
 static void
-held_free (Held *held)
+held_request_free (HeldRequest *held)
 {
   event_free (held->timer);
   g_free (held);
 }
 
 static void
-on_gone (struct evhttp_connection *connection, void *ctx)
+on_closed (struct evhttp_connection *connection, void *ctx)
 {
-  held_free (ctx);
+  held_request_free (ctx);
 }
 
 static void
 on_due (evutil_socket_t fd, short what, void *ctx)
 {
-  Held *held = ctx;
+  HeldRequest *held = ctx;
 
   evhttp_connection_set_closecb (evhttp_request_get_connection (held->request), NULL,
                                  NULL);
   held->serve (held->request, held->ctx);
-  held_free (held);
+  held_request_free (held);
 }
 
 void
@@ -41,12 +41,13 @@
               gpointer ctx)
 {
   struct timeval delay = timeval_from_ms (delay_ms);
-  Held *held = g_new0 (Held, 1);
+  HeldRequest *held = g_new0 (HeldRequest, 1);
 
   held->request = request;
   held->serve = serve;
   held->ctx = ctx;
   held->timer = evtimer_new (base, on_due, held);
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_gone, held);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_closed,
+                                 held);
   event_add (held->timer, &delay);
 }
--- a/standins/hold.h
+++ b/standins/hold.h
@@ -1,12 +1,12 @@
 #pragma once
-/* Calls that a stand-in looks at later, as a slow service does. */
+/* Delayed handling of HTTP requests, to simulate a slow service. */
 #include <event2/event.h>
 #include <event2/http.h>
 #include <glib.h>
 
 typedef void (*HoldServe) (struct evhttp_request *request, gpointer ctx);
 
-/** hold_request - serve it @delay_ms later, unless its caller has gone by then. */
+/** hold_request - serve it after @delay_ms, unless the client has disconnected. */
 void hold_request (struct event_base *base,
                    struct evhttp_request *request,
                    guint delay_ms,
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -1,9 +1,9 @@
-/* A stand-in for the platform's table service, as docs/INTERFACE.md describes it.
+/* Stand-in (fake) for the platform's table service, as described in docs/INTERFACE.md.
  *
- * POST /faults?mode=MODE switches: "ok"; "down" (503 at once); "hang" (no answer, nothing
- * done); "lose" (writes take effect, their answers are lost); "lose-next" (only the next
- * write's); "late" (writes take effect after --late-ms, and only then are answered);
- * "slow" (every call is looked at later). */
+ * POST /faults?mode=MODE sets the fault mode: "ok"; "down" (503 at once); "hang"
+ * (requests are dropped without a response); "lose" (writes are applied, their responses
+ * are lost); "lose-next" (the same for the next write only); "late" (writes are applied
+ * and answered after LATE_MS); "slow" (every request is handled after SLOW_MS). */
 #include "clock.h"
 #include "hold.h"
 #include "http.h"
@@ -40,7 +40,7 @@
 {
   gint64 version;
   char *value;
-  gint64 expires_us; /* 0: never */
+  gint64 expires_us; /* monotonic; 0: never */
 } Row;
 
 typedef struct
@@ -57,7 +57,7 @@
   Platform *platform;
   struct evhttp_request *request;
   JsonNode *root;
-} Late;
+} DelayedCommit;
 
 static void
 row_free (gpointer data)
@@ -224,45 +224,45 @@
 }
 
 static void
-on_late (evutil_socket_t fd, short what, void *ctx)
+on_commit_due (evutil_socket_t fd, short what, void *ctx)
 {
-  Late *late = ctx;
-  JsonBuilder *builder = apply_commit (late->platform, late->root);
+  DelayedCommit *commit = ctx;
+  JsonBuilder *builder = apply_commit (commit->platform, commit->root);
 
-  if (late->request != NULL)
+  if (commit->request != NULL)
     {
-      evhttp_connection_set_closecb (evhttp_request_get_connection (late->request), NULL,
-                                     NULL);
-      reply_json (late->request, 200, builder);
+      evhttp_connection_set_closecb (evhttp_request_get_connection (commit->request),
+                                     NULL, NULL);
+      reply_json (commit->request, 200, builder);
     }
   else
     {
       g_object_unref (builder);
     }
-  json_node_unref (late->root);
-  g_free (late);
+  json_node_unref (commit->root);
+  g_free (commit);
 }
 
 static void
-on_late_gone (struct evhttp_connection *connection, void *ctx)
+on_closed (struct evhttp_connection *connection, void *ctx)
 {
-  Late *late = ctx;
+  DelayedCommit *commit = ctx;
 
-  late->request = NULL;
+  commit->request = NULL;
 }
 
 static void
-commit_late (Platform *platform, struct evhttp_request *request, JsonNode *root)
+delay_commit (Platform *platform, struct evhttp_request *request, JsonNode *root)
 {
-  Late *late = g_new0 (Late, 1);
+  DelayedCommit *commit = g_new0 (DelayedCommit, 1);
   struct timeval delay = timeval_from_ms (LATE_MS);
 
-  late->platform = platform;
-  late->request = request;
-  late->root = json_node_ref (root);
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_late_gone,
-                                 late);
-  event_base_once (platform->base, -1, EV_TIMEOUT, on_late, late, &delay);
+  commit->platform = platform;
+  commit->request = request;
+  commit->root = json_node_ref (root);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_closed,
+                                 commit);
+  event_base_once (platform->base, -1, EV_TIMEOUT, on_commit_due, commit, &delay);
 }
 
 static void
@@ -283,7 +283,7 @@
     }
   if (platform->mode == MODE_LATE)
     {
-      commit_late (platform, request, root);
+      delay_commit (platform, request, root);
       json_node_unref (root);
       return;
     }
@@ -361,7 +361,7 @@
     reply_plain (request, 503, "down\n");
   else if (platform->mode == MODE_SLOW)
     hold_request (platform->base, request, SLOW_MS, serve, platform);
-  else if (platform->mode != MODE_HANG) /* there the client gives up and closes */
+  else if (platform->mode != MODE_HANG) /* the client times out */
     serve (request, platform);
 }
 
@@ -373,9 +373,9 @@
   char *bound = NULL;
   GError *error = NULL;
   struct evhttp *http;
-  const GOptionEntry entries[]
-      = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Where to serve", "IP:PORT" },
-          { NULL } };
+  const GOptionEntry entries[] = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen,
+                                     "Address to listen on", "IP:PORT" },
+                                   { NULL } };
   GOptionContext *context = g_option_context_new (NULL);
 
   g_option_context_set_summary (context, "Stands in for the platform's table service.");
--- a/standins/server.c
+++ b/standins/server.c
@@ -1,12 +1,13 @@
-/* A stand-in for a back end of the users' platform that runs tasks under leases, by its
- * published protocol: run-start, run-stop, hold, heartbeats. A task whose spec is "MS"
- * takes MS milliseconds; "fail:MS" ends as failed after that; under the first task of
- * "crash:MS" the back end crashes after that, and is back a while later.
+/* Stand-in (fake) for a backend server of the users' platform that runs tasks under
+ * leases, by its published protocol: run-start, run-stop, hold, heartbeats. A task with
+ * the spec "MS" takes MS milliseconds; "fail:MS" then fails; the first task of a
+ * "crash:MS" job then crashes the server, which is down for DOWN_MS.
  *
- * GET /runs lists all starts and ends: "start|HOW MILLISECONDS TASK RUN" a line.
- * POST /faults?mode=MODE switches: "ok"; "mute" (nothing is answered); "late" (orders are
- * carried out after two seconds, unanswered); "hang" (tasks stand still); "shrink" (half
- * of its capacity); "restart" (a new life); "drain" and "leave". */
+ * GET /runs returns all starts and ends, one "start|HOW MILLISECONDS TASK RUN" per line.
+ * POST /faults?mode=MODE sets the fault mode: "ok"; "mute" (no responses to orders, no
+ * heartbeats); "late" (orders are executed after two seconds and not answered); "hang"
+ * (tasks make no progress); "shrink" (half the capacity); "restart" (a new instance);
+ * "drain" and "leave". */
 #include "clock.h"
 #include "http.h"
 #include "listen.h"
@@ -21,10 +22,10 @@
 #define STOP_MS 20
 #define LATE_MS 2000
 #define HEARTBEAT_MS 300
-#define CPU_EACH 1000
-#define WATCH_MOST_MS 2000
+#define TASK_CPU 1000
+#define LONG_POLL_MAX_MS 2000
 #define DOWN_MS 500 /* after a crash */
-/* Orders that were given before the agent knew what has shrunk may be under way. */
+/* Starts sent before the agent received a smaller capacity may still arrive. */
 #define SHRINK_GRACE_MS 1000
 
 typedef enum
@@ -39,11 +40,11 @@
 typedef struct
 {
   char *name;
-  gint64 run;
-  gint64 begun;
-  gint64 length;
-  gint64 done;     /* milliseconds of its work */
-  gint64 stops_at; /* 0: not being stopped */
+  gint64 run_id;
+  gint64 started_ms;
+  gint64 length_ms;
+  gint64 done_ms;
+  gint64 stop_at_ms; /* 0: not stopping */
   gboolean fails;
   gboolean crashes;
 } Task;
@@ -52,23 +53,23 @@
 {
   gint64 number;
   char *name;
-  gint64 run;
+  gint64 run_id;
   const char *how;
 } End;
 
-/* A hold that waits for an end. */
+/* A hold call that waits for the end of a run. */
 typedef struct
 {
   struct evhttp_request *request;
-  gint64 until;
+  gint64 deadline_ms;
 } Waiter;
 
 typedef struct
 {
-  guint life; /* that it was meant for */
+  guint instance_count; /* the instance that received it */
   char *path;
   JsonNode *body;
-  gint64 due;
+  gint64 due_ms;
 } LateOrder;
 
 typedef struct
@@ -77,28 +78,28 @@
   char *address;
   const char *zone;
   HttpPool *agent;
-  guint life;
+  guint instance_count;
   char instance[32];
-  gint64 start;
+  gint64 started_ms;
   gint64 token;
-  gint64 lease;
-  gint64 ends;
+  gint64 lease_until; /* by server_ms () */
+  gint64 n_ends;
   gint64 sequence;
   guint cpu;
   Mode mode;
   gint64 down_until;
-  guint beat_cpu;    /* in the last heartbeat sent */
-  guint told_cpu;    /* in the last one acknowledged */
-  gint64 told_ms;    /* since when that is so */
-  guint told_before; /* before that */
+  guint sent_cpu;     /* in the last report sent */
+  guint acked_cpu;    /* in the last report acknowledged */
+  gint64 acked_ms;    /* time when acked_cpu last changed */
+  guint previous_cpu; /* acked_cpu before that */
   gboolean draining;
   GPtrArray *tasks;
   GPtrArray *ended;
   GPtrArray *waiters;
-  GPtrArray *late;
-  GHashTable *over; /* task -> highest number of a run that is over in this life */
+  GPtrArray *late_orders;
+  GHashTable *finished; /* task -> highest run stopped or ended in this instance */
   GString *log;
-  gint64 beat_ms;
+  gint64 sent_ms;
 } Server;
 
 static void
@@ -120,7 +121,7 @@
 }
 
 static void
-late_free (gpointer data)
+late_order_free (gpointer data)
 {
   LateOrder *order = data;
 
@@ -132,42 +133,42 @@
 static gint64
 server_ms (const Server *server)
 {
-  return clock_now_ms () - server->start + 1000;
+  return clock_now_ms () - server->started_ms + 1000;
 }
 
 static void
-note (Server *server, const char *what, const char *name, gint64 run)
+log_run (Server *server, const char *what, const char *name, gint64 run_id)
 {
   g_string_append_printf (server->log,
                           "%s %" G_GINT64_FORMAT " %s %" G_GINT64_FORMAT "\n", what,
-                          clock_now_ms (), name, run);
+                          clock_now_ms (), name, run_id);
 }
 
 static void
-begin_life (Server *server)
+begin_instance (Server *server)
 {
   for (guint i = 0; i < server->tasks->len; i++)
     {
       const Task *task = g_ptr_array_index (server->tasks, i);
 
-      note (server, "crashed", task->name, task->run);
+      log_run (server, "crashed", task->name, task->run_id);
     }
-  server->life++;
+  server->instance_count++;
   g_snprintf (server->instance, sizeof server->instance, "i-%d-%u", (int)getpid (),
-              server->life);
-  server->start = clock_now_ms ();
+              server->instance_count);
+  server->started_ms = clock_now_ms ();
   server->token = 0;
-  server->lease = 0;
-  server->ends = 0;
+  server->lease_until = 0;
+  server->n_ends = 0;
   server->sequence = 0;
   server->draining = FALSE;
   g_ptr_array_set_size (server->tasks, 0);
   g_ptr_array_set_size (server->ended, 0);
-  g_hash_table_remove_all (server->over);
+  g_hash_table_remove_all (server->finished);
 }
 
 static GString *
-lists (Server *server)
+format_runs (Server *server)
 {
   GString *body = g_string_new (NULL);
 
@@ -177,9 +178,9 @@
     {
       const Task *task = g_ptr_array_index (server->tasks, i);
 
-      g_string_append_printf (body, "%s[\"%s\",%" G_GINT64_FORMAT ",\"\",%d,0]",
-                              i > 0 ? "," : "", task->name, task->run,
-                              (int)MIN (task->done * 100 / MAX (task->length, 1), 99));
+      g_string_append_printf (
+          body, "%s[\"%s\",%" G_GINT64_FORMAT ",\"\",%d,0]", i > 0 ? "," : "", task->name,
+          task->run_id, (int)MIN (task->done_ms * 100 / MAX (task->length_ms, 1), 99));
     }
   g_string_append (body, "],\"ended\":[");
   for (guint i = 0; i < server->ended->len; i++)
@@ -188,26 +189,26 @@
 
       g_string_append_printf (
           body, "%s[%" G_GINT64_FORMAT ",\"%s\",%" G_GINT64_FORMAT ",\"%s\",\"\"]",
-          i > 0 ? "," : "", end->number, end->name, end->run, end->how);
+          i > 0 ? "," : "", end->number, end->name, end->run_id, end->how);
     }
   g_string_append (body, "]}");
   return body;
 }
 
 static void
-reply_lists (Server *server, struct evhttp_request *request)
+reply_runs (Server *server, struct evhttp_request *request)
 {
-  GString *body = lists (server);
+  GString *body = format_runs (server);
 
   http_reply (request, 200, "application/json", body->str, body->len, 0);
   g_string_free (body, TRUE);
 }
 
 static void
-reply_short (Server *server,
-             struct evhttp_request *request,
-             int status,
-             const char *reason)
+reply_status (Server *server,
+              struct evhttp_request *request,
+              int status,
+              const char *reason)
 {
   char *body
       = g_strdup_printf ("{\"clock_ms\":%" G_GINT64_FORMAT "%s%s%s}", server_ms (server),
@@ -218,21 +219,20 @@
   g_free (body);
 }
 
-/* The highest number under which a run of the task was stopped or ended in this life. */
 static gint64
-last_run (Server *server, const char *name)
+last_finished_run (Server *server, const char *name)
 {
-  gint64 *run = g_hash_table_lookup (server->over, name);
+  gint64 *run_id = g_hash_table_lookup (server->finished, name);
 
-  return run != NULL ? *run : 0;
+  return run_id != NULL ? *run_id : 0;
 }
 
 static void
-note_over (Server *server, const char *name, gint64 run)
+record_finished (Server *server, const char *name, gint64 run_id)
 {
-  gint64 highest = MAX (run, last_run (server, name));
+  gint64 highest = MAX (run_id, last_finished_run (server, name));
 
-  g_hash_table_replace (server->over, g_strdup (name),
+  g_hash_table_replace (server->finished, g_strdup (name),
                         g_memdup2 (&highest, sizeof highest));
 }
 
@@ -242,12 +242,12 @@
   const Task *task = g_ptr_array_index (server->tasks, i);
   End *end = g_new0 (End, 1);
 
-  end->number = ++server->ends;
+  end->number = ++server->n_ends;
   end->name = g_strdup (task->name);
-  end->run = task->run;
+  end->run_id = task->run_id;
   end->how = how;
-  note (server, how, task->name, task->run);
-  note_over (server, task->name, task->run);
+  log_run (server, how, task->name, task->run_id);
+  record_finished (server, task->name, task->run_id);
   g_ptr_array_add (server->ended, end);
   g_ptr_array_remove_index (server->tasks, i);
 }
@@ -262,7 +262,7 @@
 }
 
 static guint
-capacity_told (const Server *server)
+reported_cpu (const Server *server)
 {
   return server->mode == MODE_SHRUNK ? server->cpu / 2 : server->cpu;
 }
@@ -270,13 +270,14 @@
 static gboolean
 is_over_capacity (const Server *server)
 {
-  gboolean is_new = clock_now_ms () - server->told_ms < SHRINK_GRACE_MS;
-  guint cpu = is_new ? MAX (server->told_cpu, server->told_before) : server->told_cpu;
+  gboolean is_recent = clock_now_ms () - server->acked_ms < SHRINK_GRACE_MS;
+  guint cpu
+      = is_recent ? MAX (server->acked_cpu, server->previous_cpu) : server->acked_cpu;
 
-  return server->tasks->len * CPU_EACH > cpu;
+  return server->tasks->len * TASK_CPU > cpu;
 }
 
-/* Return: how long the task takes. */
+/* Return: the duration of the task in milliseconds. */
 static gint64
 read_spec (Task *task, const char *spec)
 {
@@ -297,55 +298,56 @@
 
   if (find_task (server, name) >= 0)
     return NULL;
-  if (server->lease <= server_ms (server))
+  if (server->lease_until <= server_ms (server))
     return "late";
-  if (json_object_get_int_member (body, "run_id") <= last_run (server, name))
+  if (json_object_get_int_member (body, "run_id") <= last_finished_run (server, name))
     return "old";
   task = g_new0 (Task, 1);
   task->name = g_strdup (name);
-  task->run = json_object_get_int_member (body, "run_id");
-  task->length = read_spec (task, spec);
-  task->begun = clock_now_ms ();
+  task->run_id = json_object_get_int_member (body, "run_id");
+  task->length_ms = read_spec (task, spec);
+  task->started_ms = clock_now_ms ();
   g_ptr_array_add (server->tasks, task);
-  note (server, "start", name, task->run);
+  log_run (server, "start", name, task->run_id);
   if (is_over_capacity (server))
-    note (server, "OVER-CAPACITY", name, task->run);
+    log_run (server, "OVER-CAPACITY", name, task->run_id);
   return NULL;
 }
 
-/* Return: NULL, or why it is refused. */
+/* Return: NULL, or the reason of the refusal. */
 static const char *
-carry_out (Server *server, const char *path, JsonObject *body)
+execute_order (Server *server, const char *path, JsonObject *body)
 {
   gint64 token = json_object_get_int_member_with_default (body, "fencing_token", 0);
-  gint64 seen = json_object_get_int_member_with_default (body, "acked_upto", 0);
+  gint64 acked_upto = json_object_get_int_member_with_default (body, "acked_upto", 0);
   int i;
 
   if (token < server->token)
     return "fence";
   server->token = token;
-  server->lease = MAX (server->lease,
-                       json_object_get_int_member_with_default (body, "deadline_ms", 0));
+  server->lease_until
+      = MAX (server->lease_until,
+             json_object_get_int_member_with_default (body, "deadline_ms", 0));
   if (strcmp (path, "/run-start") == 0)
     return start_task (server, body);
   if (strcmp (path, "/run-stop") == 0)
     {
-      note_over (server, json_object_get_string_member (body, "task"),
-                 json_object_get_int_member (body, "run_id"));
+      record_finished (server, json_object_get_string_member (body, "task"),
+                       json_object_get_int_member (body, "run_id"));
       i = find_task (server, json_object_get_string_member (body, "task"));
       if (i >= 0)
-        ((Task *)g_ptr_array_index (server->tasks, i))->stops_at
+        ((Task *)g_ptr_array_index (server->tasks, i))->stop_at_ms
             = clock_now_ms () + STOP_MS;
       return NULL;
     }
   while (server->ended->len > 0
-         && ((End *)g_ptr_array_index (server->ended, 0))->number <= seen)
+         && ((End *)g_ptr_array_index (server->ended, 0))->number <= acked_upto)
     g_ptr_array_remove_index (server->ended, 0);
   return NULL;
 }
 
 static void
-on_waiter_gone (struct evhttp_connection *connection, void *ctx)
+on_waiter_closed (struct evhttp_connection *connection, void *ctx)
 {
   Server *server = ctx;
 
@@ -359,14 +361,14 @@
 }
 
 static void
-wait_for_end (Server *server, struct evhttp_request *request, gint64 wait_ms)
+add_waiter (Server *server, struct evhttp_request *request, gint64 wait_ms)
 {
   Waiter *waiter = g_new0 (Waiter, 1);
 
   waiter->request = request;
-  waiter->until = clock_now_ms () + MIN (wait_ms, WATCH_MOST_MS);
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_waiter_gone,
-                                 server);
+  waiter->deadline_ms = clock_now_ms () + MIN (wait_ms, LONG_POLL_MAX_MS);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request),
+                                 on_waiter_closed, server);
   g_ptr_array_add (server->waiters, waiter);
 }
 
@@ -383,57 +385,57 @@
 
   if (body == NULL)
     {
-      reply_short (server, request, 400, NULL);
+      reply_status (server, request, 400, NULL);
     }
   else if (expected != NULL && strcmp (expected, server->instance) != 0)
     {
-      reply_short (server, request, 421, NULL);
+      reply_status (server, request, 421, NULL);
     }
   else if (server->mode == MODE_LATE && strcmp (path, "/hold") != 0)
     {
       LateOrder *order = g_new0 (LateOrder, 1);
 
-      order->life = server->life;
+      order->instance_count = server->instance_count;
       order->path = g_strdup (path);
       order->body = json_node_ref (root);
-      order->due = clock_now_ms () + LATE_MS;
-      g_ptr_array_add (server->late, order);
+      order->due_ms = clock_now_ms () + LATE_MS;
+      g_ptr_array_add (server->late_orders, order);
     }
-  else if ((reason = carry_out (server, path, body)) != NULL)
+  else if ((reason = execute_order (server, path, body)) != NULL)
     {
-      reply_short (server, request, 409, reason);
+      reply_status (server, request, 409, reason);
     }
   else if (strcmp (path, "/hold") != 0)
     {
-      reply_short (server, request, 200, NULL);
+      reply_status (server, request, 200, NULL);
     }
   else if (json_object_get_int_member_with_default (body, "wait_ms", 0) > 0
            && server->ended->len == 0)
     {
-      wait_for_end (server, request, json_object_get_int_member (body, "wait_ms"));
+      add_waiter (server, request, json_object_get_int_member (body, "wait_ms"));
     }
   else
     {
-      reply_lists (server, request);
+      reply_runs (server, request);
     }
   g_clear_pointer (&root, json_node_unref);
   g_free (text);
 }
 
 static void
-on_beaten (const HttpAnswer *answer, gpointer ctx)
+on_report_done (const HttpAnswer *answer, gpointer ctx)
 {
   Server *server = ctx;
 
-  if (answer->end != HTTP_ANSWERED || server->beat_cpu == server->told_cpu)
+  if (answer->end != HTTP_ANSWERED || server->sent_cpu == server->acked_cpu)
     return;
-  server->told_before = server->told_cpu;
-  server->told_cpu = server->beat_cpu;
-  server->told_ms = clock_now_ms ();
+  server->previous_cpu = server->acked_cpu;
+  server->acked_cpu = server->sent_cpu;
+  server->acked_ms = clock_now_ms ();
 }
 
 static void
-beat (Server *server, const char *what)
+send_report (Server *server, const char *what)
 {
   char *path = g_strdup_printf ("/Instances.%s/%s", what, server->instance);
   char *body = g_strdup_printf (
@@ -442,17 +444,17 @@
       "\"labels\":[\"a\",\"r1-1\"],\"clock_ms\":%" G_GINT64_FORMAT
       ",\"seq\":%" G_GINT64_FORMAT "}",
       server->address, server->zone, server->draining ? "draining" : "ready",
-      capacity_told (server), server_ms (server), ++server->sequence);
+      reported_cpu (server), server_ms (server), ++server->sequence);
   HttpCall call = { .method = EVHTTP_REQ_POST,
                     .path = path,
                     .body = body,
                     .size = strlen (body),
                     .timeout_ms = 1000,
-                    .done = on_beaten,
+                    .done = on_report_done,
                     .ctx = server };
 
-  server->beat_ms = clock_now_ms ();
-  server->beat_cpu = capacity_told (server);
+  server->sent_ms = clock_now_ms ();
+  server->sent_cpu = reported_cpu (server);
   http_pool_call (server->agent, &call);
   g_free (path);
   g_free (body);
@@ -461,18 +463,18 @@
 static void
 crash (Server *server)
 {
-  begin_life (server);
+  begin_instance (server);
   server->down_until = clock_now_ms () + DOWN_MS;
 }
 
 static gboolean
-is_deaf (const Server *server)
+is_unresponsive (const Server *server)
 {
   return server->mode == MODE_MUTE || clock_now_ms () < server->down_until;
 }
 
 static void
-work (Server *server)
+advance_tasks (Server *server)
 {
   gint64 now = clock_now_ms ();
 
@@ -481,23 +483,23 @@
       Task *task = g_ptr_array_index (server->tasks, i - 1);
 
       if (server->mode != MODE_HANG)
-        task->done += TICK_MS;
-      if (task->stops_at != 0 && now >= task->stops_at)
+        task->done_ms += TICK_MS;
+      if (task->stop_at_ms != 0 && now >= task->stop_at_ms)
         end_task (server, i - 1, "stopped");
-      else if (server_ms (server) > server->lease)
+      else if (server_ms (server) > server->lease_until)
         end_task (server, i - 1, "lapsed");
-      else if (task->done >= task->length && task->crashes)
+      else if (task->done_ms >= task->length_ms && task->crashes)
         {
           crash (server);
           return;
         }
-      else if (task->done >= task->length)
+      else if (task->done_ms >= task->length_ms)
         end_task (server, i - 1, task->fails ? "failed" : "done");
     }
 }
 
 static void
-answer_waiters (Server *server)
+reply_to_waiters (Server *server)
 {
   gint64 now = clock_now_ms ();
 
@@ -505,27 +507,27 @@
     {
       Waiter *waiter = g_ptr_array_index (server->waiters, i - 1);
 
-      if (server->ended->len == 0 && now < waiter->until)
+      if (server->ended->len == 0 && now < waiter->deadline_ms)
         continue;
       evhttp_connection_set_closecb (evhttp_request_get_connection (waiter->request),
                                      NULL, NULL);
-      reply_lists (server, waiter->request);
+      reply_runs (server, waiter->request);
       g_ptr_array_remove_index (server->waiters, i - 1);
     }
 }
 
 static void
-carry_out_late (Server *server)
+execute_late_orders (Server *server)
 {
-  for (guint i = server->late->len; i > 0; i--)
+  for (guint i = server->late_orders->len; i > 0; i--)
     {
-      LateOrder *order = g_ptr_array_index (server->late, i - 1);
+      LateOrder *order = g_ptr_array_index (server->late_orders, i - 1);
 
-      if (clock_now_ms () < order->due)
+      if (clock_now_ms () < order->due_ms)
         continue;
-      if (order->life == server->life)
-        carry_out (server, order->path, json_node_get_object (order->body));
-      g_ptr_array_remove_index (server->late, i - 1);
+      if (order->instance_count == server->instance_count)
+        execute_order (server, order->path, json_node_get_object (order->body));
+      g_ptr_array_remove_index (server->late_orders, i - 1);
     }
 }
 
@@ -534,13 +536,13 @@
 {
   Server *server = ctx;
 
-  carry_out_late (server);
-  work (server);
-  if (is_deaf (server))
+  execute_late_orders (server);
+  advance_tasks (server);
+  if (is_unresponsive (server))
     return;
-  answer_waiters (server);
-  if (server->agent != NULL && clock_now_ms () - server->beat_ms > HEARTBEAT_MS)
-    beat (server, "Heartbeat");
+  reply_to_waiters (server);
+  if (server->agent != NULL && clock_now_ms () - server->sent_ms > HEARTBEAT_MS)
+    send_report (server, "Heartbeat");
 }
 
 static void
@@ -553,18 +555,19 @@
     if (g_strcmp0 (mode, names[i]) == 0)
       server->mode = i;
   if (g_strcmp0 (mode, "restart") == 0)
-    begin_life (server);
+    begin_instance (server);
   if (g_strcmp0 (mode, "drain") == 0)
     server->draining = TRUE;
   if (g_strcmp0 (mode, "leave") == 0)
-    beat (server, "Leave");
-  else if (!is_deaf (server) && server->agent != NULL)
-    beat (server, "Heartbeat");
-  reply_short (server, request, 200, NULL);
+    send_report (server, "Leave");
+  else if (!is_unresponsive (server) && server->agent != NULL)
+    send_report (server, "Heartbeat");
+  reply_status (server, request, 200, NULL);
   g_free (mode);
 }
 
-/* The agent needs this server's address to start, and this server the agent's. */
+/* Sets the agent's address, which is only known once the agent has started: the agent
+ * needs the address of this server first. */
 static void
 serve_agent (Server *server, struct evhttp_request *request)
 {
@@ -573,8 +576,8 @@
   g_clear_pointer (&server->agent, http_pool_free);
   server->agent = http_pool_new (server->base, address, 1);
   server->mode = MODE_OK;
-  beat (server, "Heartbeat");
-  reply_short (server, request, 200, NULL);
+  send_report (server, "Heartbeat");
+  reply_status (server, request, 200, NULL);
   g_free (address);
 }
 
@@ -590,7 +593,7 @@
     serve_faults (server, request);
   else if (strcmp (path, "/agent") == 0)
     serve_agent (server, request);
-  else if (is_deaf (server))
+  else if (is_unresponsive (server))
     return;
   else
     serve_order (server, request, path);
@@ -611,16 +614,16 @@
       fprintf (stderr, "standin-server: %s\n", error->message);
       return EXIT_FAILURE;
     }
-  server.cpu = argc > 1 ? (guint)atoi (argv[1]) : 4 * CPU_EACH;
+  server.cpu = argc > 1 ? (guint)atoi (argv[1]) : 4 * TASK_CPU;
   server.zone = argc > 2 ? argv[2] : "z";
-  server.told_cpu = server.cpu;
+  server.acked_cpu = server.cpu;
   server.tasks = g_ptr_array_new_with_free_func (task_free);
   server.ended = g_ptr_array_new_with_free_func (end_free);
   server.waiters = g_ptr_array_new_with_free_func (g_free);
-  server.late = g_ptr_array_new_with_free_func (late_free);
-  server.over = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  server.late_orders = g_ptr_array_new_with_free_func (late_order_free);
+  server.finished = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   server.log = g_string_new (NULL);
-  begin_life (&server);
+  begin_instance (&server);
   evhttp_set_gencb (http, on_request, &server);
   event_add (tick, &interval);
   fprintf (stderr, "standin-server listens, http %s\n", server.address);
--- a/standins/store.c
+++ b/standins/store.c
@@ -1,11 +1,12 @@
-/* A stand-in for the users' platform's row store, by its published protocol: rows-get,
- * rows-tx, rows-feed. A test plays the operator by writing the table "op" itself.
+/* Stand-in (fake) for the row store of the users' platform, by its published protocol:
+ * rows-get, rows-tx, rows-feed. Tests act as the operator by writing the table "op".
  *
- * POST /faults?mode=MODE switches: "ok"; "down" (503 at once); "hang" (no answer, nothing
- * done); "silent" (the same, and feeds that wait are never answered); "lose" (writes are
- * done, their answers are lost); "forget" (the history is dropped: feeds answer 410
- * once); "slow" (every call is looked at a second later). GET /counters: reads of
- * the operator's table, and writes. */
+ * POST /faults?mode=MODE sets the fault mode: "ok"; "down" (503 at once); "hang"
+ * (requests are dropped without a response); "silent" (the same, and waiting feeds are
+ * never answered either); "lose" (writes are applied, their responses are lost); "forget"
+ * (the history is dropped: feeds from before it get 410); "slow" (every request is
+ * handled after SLOW_MS). GET /counters returns the number of reads of the table "op" and
+ * of writes. */
 #include "clock.h"
 #include "hold.h"
 #include "http.h"
@@ -18,7 +19,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FEED_MOST_MS 30000
+#define FEED_MAX_MS 30000
 #define SLOW_MS 1000
 
 typedef enum
@@ -43,13 +44,13 @@
   gint64 version;
 } Row;
 
-/* A feed that waits for a change. */
+/* A rows-feed request (long poll) that waits for a change. */
 typedef struct
 {
   struct evhttp_request *request;
   char *table;
   gint64 after;
-  gint64 until_ms;
+  gint64 deadline_ms;
 } Feed;
 
 typedef struct
@@ -58,7 +59,7 @@
   GPtrArray *rows;
   GPtrArray *feeds;
   gint64 version;
-  gint64 oldest; /* feeds from before this version are refused */
+  gint64 oldest; /* feeds from before this version get 410 */
   Mode mode;
   guint64 config_reads;
   guint64 writes;
@@ -98,7 +99,7 @@
 }
 
 static void
-add_removed (GString *body, const Row *row)
+add_removed_row (GString *body, const Row *row)
 {
   g_string_append_printf (body,
                           "%s{\"table\":\"%s\",\"part\":\"\",\"key\":\"%s\","
@@ -112,7 +113,7 @@
 {
   if (row->value == NULL)
     {
-      add_removed (body, row);
+      add_removed_row (body, row);
       return;
     }
   g_string_append_printf (body,
@@ -187,7 +188,7 @@
 }
 
 static gboolean
-answer_feed (Store *store, const Feed *feed, gboolean even_empty)
+answer_feed (Store *store, const Feed *feed, gboolean allow_empty)
 {
   GString *body = g_string_new ("{\"rows\":[");
   guint n = 0;
@@ -201,7 +202,7 @@
       add_row (body, row);
       n++;
     }
-  if (n == 0 && !even_empty)
+  if (n == 0 && !allow_empty)
     {
       g_string_free (body, TRUE);
       return FALSE;
@@ -211,7 +212,7 @@
 }
 
 static void
-on_feeder_gone (struct evhttp_connection *connection, void *ctx)
+on_feed_closed (struct evhttp_connection *connection, void *ctx)
 {
   Store *store = ctx;
 
@@ -238,42 +239,42 @@
   feed->request = request;
   feed->table = http_query_value (request, "table");
   feed->after = query_int (request, "after");
-  feed->until_ms = clock_now_ms () + MIN (query_int (request, "wait_ms"), FEED_MOST_MS);
+  feed->deadline_ms = clock_now_ms () + MIN (query_int (request, "wait_ms"), FEED_MAX_MS);
   if (answer_feed (store, feed, FALSE))
     {
       feed_free (feed);
       return;
     }
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_feeder_gone,
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_feed_closed,
                                  store);
   g_ptr_array_add (store->feeds, feed);
 }
 
 static void
-feed_all (Store *store)
+answer_feeds (Store *store)
 {
   gint64 now = clock_now_ms ();
 
   for (guint i = store->feeds->len; i > 0; i--)
     {
       Feed *feed = g_ptr_array_index (store->feeds, i - 1);
-      gboolean over = now >= feed->until_ms;
+      gboolean expired = now >= feed->deadline_ms;
 
       if (store->mode != MODE_OK && store->mode != MODE_SLOW)
         continue;
       evhttp_connection_set_closecb (evhttp_request_get_connection (feed->request), NULL,
                                      NULL);
-      if (answer_feed (store, feed, over))
+      if (answer_feed (store, feed, expired))
         g_ptr_array_remove_index (store->feeds, i - 1);
       else
         evhttp_connection_set_closecb (evhttp_request_get_connection (feed->request),
-                                       on_feeder_gone, store);
+                                       on_feed_closed, store);
     }
 }
 
-/* A row that is to be removed has no value. */
+/* An object without a value removes the row. */
 static void
-put (Store *store, JsonObject *object)
+put_row (Store *store, JsonObject *object)
 {
   const char *table = json_object_get_string_member (object, "table");
   const char *key = json_object_get_string_member (object, "key");
@@ -309,11 +310,11 @@
   puts = json_object_get_array_member (json_node_get_object (root), "puts");
   store->version++;
   for (guint i = 0; i < json_array_get_length (puts); i++)
-    put (store, json_array_get_object_element (puts, i));
+    put_row (store, json_array_get_object_element (puts, i));
   removed = json_object_get_array_member (json_node_get_object (root), "remove");
   for (guint i = 0; i < json_array_get_length (removed); i++)
-    put (store, json_array_get_object_element (removed, i));
-  feed_all (store);
+    put_row (store, json_array_get_object_element (removed, i));
+  answer_feeds (store);
   if (store->mode != MODE_LOSE)
     reply_empty (request, 200);
 
@@ -323,7 +324,7 @@
 }
 
 static void
-forget_feeds (Store *store)
+drop_feeds (Store *store)
 {
   for (guint i = 0; i < store->feeds->len; i++)
     {
@@ -355,7 +356,7 @@
     if (g_strcmp0 (mode, mode_names[i]) == 0)
       store->mode = i;
   if (store->mode == MODE_SILENT)
-    forget_feeds (store);
+    drop_feeds (store);
   if (store->mode == MODE_FORGET)
     {
       store->oldest = store->version + 1;
@@ -421,7 +422,7 @@
 static void
 on_tick (evutil_socket_t fd, short what, void *ctx)
 {
-  feed_all (ctx);
+  answer_feeds (ctx);
 }
 
 int
