--- a/tests/cases.h
+++ b/tests/cases.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Tables of cases: one test for each row, named by its first member. */
+/* Table-driven tests: one test per row, named by its member "name". */
 #include <glib.h>
 
 #define ADD_CASES(prefix, cases, func)                                                   \
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -12,8 +12,6 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Processes. */
-
 static char *
 find_word_after (const char *text, const char *mark)
 {
@@ -56,29 +54,29 @@
   return end != NULL;
 }
 
-/* A test that fails by a signal must leave no process behind. */
+/* A test killed by a signal must leave no processes behind. */
 static void
 die_with_parent (gpointer ctx)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* What an earlier life of the process wrote stays beside the new log: a failure that
- * shows once is traced from there. */
+/* Keeps the logs from before a restart: a failure that does not recur can only be traced
+ * there. */
 static void
-keep_log (const char *path)
+rotate_log (const char *path)
 {
-  char *kept = NULL;
+  char *rotated = NULL;
 
   if (!g_file_test (path, G_FILE_TEST_EXISTS))
     return;
-  for (guint life = 1; kept == NULL || g_file_test (kept, G_FILE_TEST_EXISTS); life++)
+  for (guint n = 1; rotated == NULL || g_file_test (rotated, G_FILE_TEST_EXISTS); n++)
     {
-      g_free (kept);
-      kept = g_strdup_printf ("%s.%u", path, life);
+      g_free (rotated);
+      rotated = g_strdup_printf ("%s.%u", path, n);
     }
-  g_rename (path, kept);
-  g_free (kept);
+  g_rename (path, rotated);
+  g_free (rotated);
 }
 
 static void
@@ -93,8 +91,8 @@
   g_clear_pointer (&process->frames, g_free);
   g_clear_pointer (&process->ready_address, g_free);
   g_clear_pointer (&process->metrics, g_free);
-  keep_log (process->log);
-  keep_log (events);
+  rotate_log (process->log);
+  rotate_log (events);
   g_subprocess_launcher_set_child_setup (launcher, die_with_parent, NULL, NULL);
   g_subprocess_launcher_set_stderr_file_path (launcher, process->log);
   g_subprocess_launcher_set_stdout_file_path (launcher, events);
@@ -103,7 +101,7 @@
   g_assert_no_error (error);
   process->pid = atoi (g_subprocess_get_identifier (child));
   g_object_set_data_full (G_OBJECT (launcher), "child", child, g_object_unref);
-  /* The child is waited for by its id; GLib's own watch must not reap it first. */
+  /* Keeps the object: has_exited () is true only once GLib has reaped the child. */
   g_object_ref (child);
   g_object_unref (launcher);
   g_free (events);
@@ -130,7 +128,7 @@
 }
 
 static gboolean
-has_ended (gpointer ctx)
+has_exited (gpointer ctx)
 {
   Process *process = ctx;
 
@@ -140,7 +138,7 @@
 int
 process_wait (Harness *harness, Process *process)
 {
-  harness_wait (harness, has_ended, process, process->name);
+  harness_wait (harness, has_exited, process, process->name);
   process->pid = 0;
   return process->exit_code;
 }
@@ -158,7 +156,7 @@
   process_spawn (harness, process);
 }
 
-/* A process under a sanitizer writes its findings to its log. */
+/* Sanitizers report to the log of the process. */
 static void
 check_log (const Process *process)
 {
@@ -204,25 +202,24 @@
   return path;
 }
 
-static const char *other_build;
+static const char *build_folder;
 
 void
 harness_use_build (const char *folder)
 {
-  other_build = folder;
+  build_folder = folder;
 }
 
-/* The daemon in the build folder that is in use. */
 static char *
 find_daemon (const char *program)
 {
   char *name;
   char *path;
 
-  if (other_build == NULL)
+  if (build_folder == NULL)
     return g_strdup (program);
   name = g_path_get_basename (program);
-  path = g_build_filename (other_build, "src", name, NULL);
+  path = g_build_filename (build_folder, "src", name, NULL);
   g_free (name);
   return path;
 }
@@ -335,7 +332,7 @@
   g_free (name);
 }
 
-/* Up to this many entries, an agent links to all of them; else to two. */
+/* An agent links to all of up to four entries, else to two. */
 #define LINK_ALL_ENTRIES 4
 #define LINKS_WANTED 2
 
@@ -346,11 +343,11 @@
 } BackendWait;
 
 static gboolean
-is_known_widely (gpointer ctx)
+is_known_to_entries (gpointer ctx)
 {
   const BackendWait *wait = ctx;
   guint entries = wait->harness->entries->len;
-  guint wanted = entries <= LINK_ALL_ENTRIES ? entries : LINKS_WANTED;
+  guint needed = entries <= LINK_ALL_ENTRIES ? entries : LINKS_WANTED;
   char *text = g_strdup_printf ("\"backend\":\"%s\"", wait->agent);
   guint known = 0;
 
@@ -363,7 +360,7 @@
       exchange_free (rows);
     }
   g_free (text);
-  return known >= wanted;
+  return known >= needed;
 }
 
 static void
@@ -373,7 +370,7 @@
     {
       BackendWait wait = { harness, harness_agent (harness, i)->name };
 
-      harness_wait (harness, is_known_widely, &wait, "entries to know the agents");
+      harness_wait (harness, is_known_to_entries, &wait, "entries to know the agents");
     }
 }
 
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,6 +1,7 @@
 #pragma once
-/* Runs the real processes for a test, talks HTTP to them, waits on conditions with a
- * bound. Everything happens on one loop, which also runs the test's relays. */
+/* Runs the real daemons and stand-ins (fakes of external services) for a test, makes HTTP
+ * requests to them and waits for conditions with a timeout. All of it, and the test's
+ * relays (fault-injecting proxies), run on one event loop. */
 #include "http.h"
 #include "relay.h"
 
@@ -8,7 +9,7 @@
 #include <glib.h>
 #include <signal.h>
 
-/* Every wait ends after this long and fails the test: far more than any step needs. */
+/* Timeout of every wait, after which the test fails: far more than any step needs. */
 #define HARNESS_WAIT_MS 30000
 
 typedef struct
@@ -17,9 +18,9 @@
   char *http;
   char *frames;
   char *ready_address; /* of an entry of leased jobs */
-  char *metrics;       /* of the same, NULL if it serves none */
-  char *settings;      /* path of its file, NULL if it has none */
-  char *log;           /* path */
+  char *metrics;       /* of such an entry, NULL if it serves none */
+  char *settings;      /* path of the settings file, or NULL */
+  char *log;           /* path of its standard error; events are in LOG.events */
   char **argv;
   int pid; /* 0: not running */
   int exit_code;
@@ -32,24 +33,24 @@
   Process *platform;
   GPtrArray *entries;
   GPtrArray *agents;
-  GPtrArray *backends; /* each agent's, then those without an agent */
-  Relay *relay;        /* NULL unless asked for */
+  GPtrArray *backends; /* those with agents, then those without */
+  Relay *relay;        /* of relayed_entry, or NULL */
   GHashTable *pool_of; /* address -> HttpPool */
-  GPtrArray *raw;      /* struct bufferevent */
+  GPtrArray *raw;      /* struct bufferevent, from harness_send_raw () */
 } Harness;
 
 typedef struct
 {
   guint entries;
-  guint backends;  /* with agents */
-  guint agentless; /* without */
-  guint slots;
+  guint backends;             /* backend servers with agents */
+  guint agentless;            /* backend servers without */
+  guint slots;                /* per backend server; 0: 8 */
   const char *entry_settings; /* more TOML lines, or NULL */
   const char *agent_settings;
-  const char *relayed_entry; /* others reach this entry's frames through harness->relay */
+  const char *relayed_entry; /* peers connect to its frames port by the relay */
 } HarnessInit;
 
-/* One HTTP exchange. */
+/* One HTTP request and its response. */
 typedef struct
 {
   gboolean done;
@@ -62,20 +63,20 @@
   gint64 answered_us;
 } Exchange;
 
-/** harness_use_build - take the daemons from this build folder; NULL for our own. */
+/** harness_use_build - run the daemons of this build folder; NULL for the own build. */
 void harness_use_build (const char *folder);
 
-/** harness_new - start all and wait until each entry can place on each backend server. */
+/** harness_new - start all processes; wait until each agent is known to its entries. */
 Harness *harness_new (const HarnessInit *init);
 void harness_free (Harness *harness);
 
-/** harness_new_bare - a folder and a loop, no processes. */
+/** harness_new_bare - create a folder and an event loop only, no processes. */
 Harness *harness_new_bare (void);
 
-/** harness_spawn - start a program of the test's own and wait until it listens. */
+/** harness_spawn - start any program and wait until it listens. */
 Process *harness_spawn (Harness *harness, const char *name, const char *const *argv);
 
-/** harness_spawn_daemon - the same with a settings file of that text. */
+/** harness_spawn_daemon - the same with a settings file of the text @settings. */
 Process *harness_spawn_daemon (Harness *harness,
                                const char *program,
                                const char *name,
@@ -86,13 +87,13 @@
 Process *harness_agent (Harness *harness, guint i);
 Process *harness_backend (Harness *harness, guint i);
 
-/** harness_add_entry - start one more entry with more TOML lines. */
+/** harness_add_entry - start one more entry; @settings: further TOML lines, or NULL. */
 Process *harness_add_entry (Harness *harness, const char *name, const char *settings);
 
 /** harness_add_agent - start one more backend server with an agent. */
 Process *harness_add_agent (Harness *harness, const char *name, const char *settings);
 
-/** harness_start_agent - start an agent before a backend server that runs. */
+/** harness_start_agent - start an agent for a running backend server. */
 Process *harness_start_agent (Harness *harness,
                               const char *name,
                               const char *backend_address,
@@ -100,18 +101,18 @@
 
 void process_signal (Process *process, int number);
 
-/** process_kill - SIGKILL, and wait for its end. */
+/** process_kill - send SIGKILL and wait for the exit. */
 void process_kill (Harness *harness, Process *process);
 
-/** process_wait - wait for its end. Return: its exit code. */
+/** process_wait - wait for the exit. Return: the exit code. */
 int process_wait (Harness *harness, Process *process);
 
-/** process_restart - start it again with the same command; it gets new ports. */
+/** process_restart - start it again with the same command line; ports change. */
 void process_restart (Harness *harness, Process *process);
 char *process_log (const Process *process);
 
-/** harness_call - start an exchange; it is done by the loop. Free with exchange_free().
- */
+/** harness_call - start an exchange; the event loop completes it. Free with
+ * exchange_free (). */
 Exchange *harness_call (Harness *harness,
                         const char *address,
                         enum evhttp_cmd_type method,
@@ -127,45 +128,44 @@
                              const char *body);
 void exchange_free (Exchange *exchange);
 
-/** harness_get - an exchange from start to end. */
+/** harness_get - make a request and wait for the response. */
 Exchange *harness_get (Harness *harness, const char *address, const char *path);
 Exchange *
 harness_post (Harness *harness, const char *address, const char *path, const char *body);
 
-/** harness_fault - switch a stand-in's fault. */
+/** harness_fault - set the fault mode of a stand-in. */
 void harness_fault (Harness *harness, const Process *standin, const char *mode);
 
 typedef gboolean (*HarnessCondition) (gpointer ctx);
 
-/** harness_wait - run the loop until @condition holds; fails the test after the bound. */
+/** harness_wait - run the loop until @condition holds; fail after HARNESS_WAIT_MS. */
 void harness_wait (Harness *harness,
                    HarnessCondition condition,
                    gpointer ctx,
                    const char *what);
 void harness_wait_exchange (Harness *harness, Exchange *exchange);
 
-/** harness_assert_within - no more than @most_ms have passed since then; prints the time.
+/** harness_assert_within - at most @most_ms have passed since @since_ms; prints the time.
  */
-void harness_assert_within (gint64 since_ms, gint64 most_ms);
+void harness_assert_within (gint64 since_ms, gint64 max_ms);
 
-/** harness_run_ms - let time pass; only where the passing of time is the point. */
+/** harness_run_ms - run the loop for @ms. To wait for a condition use harness_wait (). */
 void harness_run_ms (Harness *harness, guint ms);
 
-/** harness_wait_page - until the page contains @text. */
+/** harness_wait_page - wait until the page contains @text. */
 void harness_wait_page (Harness *harness,
                         const char *address,
                         const char *path,
                         const char *text);
 
-/** harness_counter - a counter on a process's page. */
+/** harness_counter - read a counter from /counters of a process. */
 guint64 harness_counter (Harness *harness, const char *address, const char *name);
 
-/** harness_send_raw - open a connection, send bytes, leave it open until the harness
- * ends. */
+/** harness_send_raw - send bytes on a new connection, which stays open until
+ * harness_close_raw () or harness_free (). */
 void
 harness_send_raw (Harness *harness, const char *address, const char *bytes, gsize size);
 
-/** harness_close_raw - close all that harness_send_raw () opened. */
 void harness_close_raw (Harness *harness);
 
 /**
@@ -174,18 +174,18 @@
  */
 GHashTable *harness_starts (Harness *harness);
 
-/** harness_assert_once - no task id was started twice anywhere. Return: ids started. */
+/** harness_assert_once - no task was started twice. Return: number of tasks started. */
 guint harness_assert_once (Harness *harness);
 
-/** harness_starts_of - starts logged for tasks of a job, or of all jobs for NULL. */
+/** harness_starts_of - number of tasks started of a job, or of all jobs for NULL. */
 guint harness_starts_of (Harness *harness, const char *job);
 
-/** job_body - JSON of a job of @tasks tasks, each with the payload. */
+/** job_body - JSON of a job with @tasks tasks of the same payload.
+ * @more: further members, each followed by a comma, or NULL. */
 char *job_body (guint tasks, const char *payload, const char *more);
 
-/** exchange_text - a text member of the JSON body; free with g_free. */
+/** exchange_text - a string member of the JSON body; free with g_free (). */
 char *exchange_text (const Exchange *exchange, const char *member);
 
-/** exchange_answers - how many answers a complete job's body holds, -1 if it is not one.
- */
+/** exchange_answers - number of answers in the body of a complete job, else -1. */
 int exchange_answers (const Exchange *exchange);
--- a/tests/harness_http.c
+++ b/tests/harness_http.c
@@ -1,4 +1,4 @@
-/* The harness's HTTP, counters and start logs. */
+/* HTTP requests, counters and start logs of the harness. */
 #include "clock.h"
 #include "harness.h"
 
@@ -16,8 +16,6 @@
 #define CALL_TIMEOUT_MS 120000
 #define CONNECTIONS 1000
 
-/* HTTP. */
-
 static HttpPool *
 pool_for (Harness *harness, const char *address)
 {
@@ -147,7 +145,8 @@
       found = exchange->end == HTTP_ANSWERED && exchange->status == 200
               && strstr (exchange->body, text) != NULL;
       if (!found && clock_now_ms () > end)
-        g_error ("%s%s never had %s but %s", address, path, text, exchange->body);
+        g_error ("%s%s: timed out waiting for: %s; last body: %s", address, path, text,
+                 exchange->body);
       exchange_free (exchange);
       if (!found)
         harness_run_ms (harness, 20);
@@ -189,8 +188,6 @@
   harness_run_ms (harness, 20);
 }
 
-/* Start logs. */
-
 static void
 count_starts (Harness *harness, const Process *backend, GHashTable *counts)
 {
@@ -225,10 +222,10 @@
   return counts;
 }
 
-/* What all living processes know of a task that ran twice: without it such a failure
- * could not be traced. */
+/* Prints what the running processes know of a task that was started twice, which could
+ * not be traced otherwise. */
 static void
-tell_story (Harness *harness, GPtrArray *processes, const char *path)
+print_pages (Harness *harness, GPtrArray *processes, const char *path)
 {
   for (guint i = 0; i < processes->len; i++)
     {
@@ -244,15 +241,15 @@
 }
 
 static void
-tell_both_starts (Harness *harness, const char *task)
+print_traces (Harness *harness, const char *task)
 {
   char *job = g_strndup (task, strcspn (task, "/"));
   char *path = g_strdup_printf ("/timeline?job=%s", job);
 
-  tell_story (harness, harness->entries, path);
-  tell_story (harness, harness->agents, path);
-  tell_story (harness, harness->entries, "/timeline");
-  tell_story (harness, harness->backends, "/starts");
+  print_pages (harness, harness->entries, path);
+  print_pages (harness, harness->agents, path);
+  print_pages (harness, harness->entries, "/timeline");
+  print_pages (harness, harness->backends, "/starts");
   g_free (path);
   g_free (job);
 }
@@ -270,7 +267,7 @@
   while (g_hash_table_iter_next (&iter, (gpointer *)&id, &n))
     if (GPOINTER_TO_UINT (n) != 1)
       {
-        tell_both_starts (harness, id);
+        print_traces (harness, id);
         g_error ("task %s was started %u times", id, GPOINTER_TO_UINT (n));
       }
   g_hash_table_unref (counts);
--- a/tests/harness_wait.c
+++ b/tests/harness_wait.c
@@ -1,11 +1,11 @@
-/* Waiting on the test's loop. */
+/* Waits on the test's event loop. */
 #include "clock.h"
 #include "harness.h"
 
 #define POLL_MS 5
 
 static void
-on_wake (evutil_socket_t fd, short what, void *ctx)
+on_timeout (evutil_socket_t fd, short what, void *ctx)
 {
 }
 
@@ -17,7 +17,7 @@
 
   do
     {
-      event_base_once (harness->base, -1, EV_TIMEOUT, on_wake, NULL, &step);
+      event_base_once (harness->base, -1, EV_TIMEOUT, on_timeout, NULL, &step);
       event_base_loop (harness->base, EVLOOP_ONCE);
     }
   while (clock_now_ms () < end);
@@ -34,16 +34,16 @@
   while (!condition (ctx))
     {
       if (clock_now_ms () > end)
-        g_error ("waited in vain: %s", what);
+        g_error ("timed out waiting for: %s", what);
       harness_run_ms (harness, POLL_MS);
     }
 }
 
 void
-harness_assert_within (gint64 since_ms, gint64 most_ms)
+harness_assert_within (gint64 since_ms, gint64 max_ms)
 {
   gint64 took_ms = clock_now_ms () - since_ms;
 
   g_test_message ("after %" G_GINT64_FORMAT " ms", took_ms);
-  g_assert_cmpint (took_ms, <=, most_ms);
+  g_assert_cmpint (took_ms, <=, max_ms);
 }
