--- a/tests/test-crashes.c
+++ b/tests/test-crashes.c
@@ -1,38 +1,38 @@
-/* Tasks that end the back ends which start them, and back ends that end or shrink by
- * themselves. */
+/* Tasks that crash their backend servers must be given up after a few crashes; backend
+ * servers that restart or shrink for other reasons must not fail any job. */
 #include "cases.h"
 #include "clock.h"
 #include "platform_scene.h"
 
 #include <string.h>
 
-/* The back ends that one task may end, by an entry that knows of it. */
-#define CRASHES_MOST 3
-#define JOBS_MOST 24
-#define JOB_EVERY_MS 50
-/* A back end that ended is served again this much later, with a margin. */
-#define BACK_MS 800
+/* Limit of the backend servers that one task may crash while its entry runs. */
+#define MAX_CRASHES_PER_ENTRY 3
+#define MAX_JOBS 24
+#define JOB_INTERVAL_MS 50
+/* A restarted backend server gets tasks again after this time, with a margin. */
+#define RESTART_MS 800
 
-/* By then each entry and agent knows what has shrunk. */
-#define SHRUNK_MS 1500
+/* By then every entry and agent knows the smaller capacity. */
+#define SHRINK_KNOWN_MS 1500
 
 static const PlatformInit fleet = { .entries = 3, .servers = 4, .configured = TRUE };
 
 typedef struct
 {
   PlatformScene *scene;
-  Exchange *sound[JOBS_MOST];
-  guint n_sound;
-} Play;
+  Exchange *exchanges[MAX_JOBS];
+  guint n_exchanges;
+} Scenario;
 
 static void
-start_sound (Play *play, guint jobs)
+start_jobs (Scenario *scenario, guint jobs)
 {
   for (guint i = 0; i < jobs; i++)
     {
-      play->sound[play->n_sound++]
-          = platform_start_job (play->scene, i % play->scene->n_entries, "200", 2);
-      harness_run_ms (play->scene->harness, JOB_EVERY_MS);
+      scenario->exchanges[scenario->n_exchanges++] = platform_start_job (
+          scenario->scene, i % scenario->scene->n_entries, "200", 2);
+      harness_run_ms (scenario->scene->harness, JOB_INTERVAL_MS);
     }
 }
 
@@ -46,13 +46,13 @@
 }
 
 static void
-check_sound (Play *play)
+check_jobs_completed (Scenario *scenario)
 {
-  for (guint i = 0; i < play->n_sound; i++)
-    check_state (play->scene, play->sound[i], "completed");
+  for (guint i = 0; i < scenario->n_exchanges; i++)
+    check_state (scenario->scene, scenario->exchanges[i], "completed");
 }
 
-/* How often a back end has ended under the first task of a job. */
+/* Number of crashes caused by the first task of a job. */
 static guint
 count_crashes (PlatformScene *scene, guint job)
 {
@@ -74,106 +74,105 @@
 }
 
 static void
-check_crashes (PlatformScene *scene, guint job, guint most)
+check_crashes (PlatformScene *scene, guint job, guint max)
 {
   guint crashes = count_crashes (scene, job);
 
-  g_test_message ("job %u ended %u back ends", job, crashes);
+  g_test_message ("job %u crashed %u backend servers", job, crashes);
   g_assert_cmpuint (crashes, >=, 1);
-  g_assert_cmpuint (crashes, <=, most);
+  g_assert_cmpuint (crashes, <=, max);
 }
 
-/* Cases. */
-
 static void
-one_is_given_up (Play *play)
+one_crashing_job (Scenario *scenario)
 {
-  PlatformScene *scene = play->scene;
+  PlatformScene *scene = scenario->scene;
   Exchange *crashing = platform_start_job (scene, 0, "crash:100", 8);
   guint job = scene->jobs;
 
-  start_sound (play, 20);
+  start_jobs (scenario, 20);
   check_state (scene, crashing, "failed");
-  check_sound (play);
-  check_crashes (scene, job, CRASHES_MOST);
+  check_jobs_completed (scenario);
+  check_crashes (scene, job, MAX_CRASHES_PER_ENTRY);
 }
 
 static void
-several_are_given_up (Play *play)
+several_crashing_jobs (Scenario *scenario)
 {
-  PlatformScene *scene = play->scene;
+  PlatformScene *scene = scenario->scene;
   Exchange *crashing[3];
   guint job = scene->jobs + 1;
 
   for (guint i = 0; i < G_N_ELEMENTS (crashing); i++)
     crashing[i] = platform_start_job (scene, i, "crash:100", 2);
-  start_sound (play, 10);
+  start_jobs (scenario, 10);
   for (guint i = 0; i < G_N_ELEMENTS (crashing); i++)
     check_state (scene, crashing[i], "failed");
-  check_sound (play);
+  check_jobs_completed (scenario);
   for (guint i = 0; i < G_N_ELEMENTS (crashing); i++)
-    check_crashes (scene, job + i, CRASHES_MOST);
+    check_crashes (scene, job + i, MAX_CRASHES_PER_ENTRY);
 }
 
-/* What the first entry knew is gone with it; the caller asks another one. */
+/* The crashes counted by the first entry are lost with it; the caller resends its job to
+ * another entry, which counts from zero. */
 static void
-is_given_up_at_another_entry (Play *play)
+resent_crashing_job (Scenario *scenario)
 {
-  PlatformScene *scene = play->scene;
+  PlatformScene *scene = scenario->scene;
   Exchange *first = platform_start_job (scene, 0, "crash:100", 2);
   guint job = scene->jobs;
   char *body = platform_job ("crash:100", 2);
   Exchange *second;
 
   while (count_crashes (scene, job) == 0)
-    harness_run_ms (scene->harness, JOB_EVERY_MS);
+    harness_run_ms (scene->harness, JOB_INTERVAL_MS);
   process_kill (scene->harness, scene->entries[0]);
   harness_wait_exchange (scene->harness, first);
   exchange_free (first);
   harness_run_ms (scene->harness, PLATFORM_RESEND_MS);
   second = platform_call (scene, 1, job, body);
   check_state (scene, second, "failed");
-  check_crashes (scene, job, 2 * CRASHES_MOST);
+  check_crashes (scene, job, 2 * MAX_CRASHES_PER_ENTRY);
   g_free (body);
 }
 
-/* Back ends that end one after the other for reasons of their own: nobody is blamed. */
+/* Backend servers restart again and again for other reasons: no task is blamed. */
 static void
-innocent_are_kept (Play *play)
+unrelated_restarts (Scenario *scenario)
 {
-  PlatformScene *scene = play->scene;
+  PlatformScene *scene = scenario->scene;
 
   for (guint round = 0; round < 3; round++)
     {
-      start_sound (play, 6);
+      start_jobs (scenario, 6);
       for (guint i = 0; i < scene->n_servers; i += 2)
         harness_fault (scene->harness, scene->servers[i], "restart");
-      harness_run_ms (scene->harness, BACK_MS);
+      harness_run_ms (scene->harness, RESTART_MS);
     }
-  check_sound (play);
+  check_jobs_completed (scenario);
 }
 
-/* Half of the room goes while all of it is in use: the back ends themselves check that
- * nothing starts above what they tell. */
+/* Half of the capacity is withdrawn while all of it is in use. The stand-ins check that
+ * no task starts above the capacity they reported. */
 static void
-shrunk_room_is_kept (Play *play)
+capacity_shrinks_in_use (Scenario *scenario)
 {
-  PlatformScene *scene = play->scene;
+  PlatformScene *scene = scenario->scene;
 
-  start_sound (play, 8);
+  start_jobs (scenario, 8);
   for (guint i = 0; i < scene->n_servers; i += 2)
     harness_fault (scene->harness, scene->servers[i], "shrink");
-  start_sound (play, 8);
-  harness_run_ms (scene->harness, SHRUNK_MS);
-  start_sound (play, 8);
-  check_sound (play);
+  start_jobs (scenario, 8);
+  harness_run_ms (scene->harness, SHRINK_KNOWN_MS);
+  start_jobs (scenario, 8);
+  check_jobs_completed (scenario);
   for (guint i = 0; i < scene->n_servers; i += 2)
     harness_fault (scene->harness, scene->servers[i], "ok");
-  harness_wait (scene->harness, platform_is_ready, scene, "all of the room again");
+  harness_wait (scene->harness, platform_is_ready, scene, "the full capacity again");
 }
 
 static gboolean
-is_remembered (gpointer ctx)
+is_report_stored (gpointer ctx)
 {
   PlatformScene *scene = ctx;
   Exchange *exchange
@@ -196,29 +195,29 @@
   return found;
 }
 
-/* An agent that is restarted goes by the report that is kept until its server's next. */
+/* A restarted agent uses the stored report until its backend server sends the next. */
 static void
-shrunk_room_is_remembered (Play *play)
+shrunk_report_is_stored (Scenario *scenario)
 {
-  PlatformScene *scene = play->scene;
+  PlatformScene *scene = scenario->scene;
 
   harness_fault (scene->harness, scene->servers[0], "shrink");
-  harness_wait (scene->harness, is_remembered, scene, "the report that is kept");
+  harness_wait (scene->harness, is_report_stored, scene, "the stored report");
 }
 
 typedef struct
 {
   const char *name;
-  void (*play) (Play *play);
+  void (*run) (Scenario *scenario);
 } Case;
 
 static const Case cases[] = {
-  { "one-is-given-up", one_is_given_up },
-  { "several-are-given-up", several_are_given_up },
-  { "given-up-at-another-entry", is_given_up_at_another_entry },
-  { "innocent-are-kept", innocent_are_kept },
-  { "shrunk-room-is-kept", shrunk_room_is_kept },
-  { "shrunk-room-is-remembered", shrunk_room_is_remembered },
+  { "one-is-given-up", one_crashing_job },
+  { "several-are-given-up", several_crashing_jobs },
+  { "given-up-at-another-entry", resent_crashing_job },
+  { "innocent-are-kept", unrelated_restarts },
+  { "shrunk-room-is-kept", capacity_shrinks_in_use },
+  { "shrunk-room-is-remembered", shrunk_report_is_stored },
 };
 
 static void
@@ -226,10 +225,10 @@
 {
   const Case *c = data;
   PlatformScene scene;
-  Play play = { &scene };
+  Scenario scenario = { &scene };
 
   platform_scene_open (&scene, &fleet);
-  c->play (&play);
+  c->run (&scenario);
   platform_check_runs (&scene, NULL, NULL);
   platform_scene_close (&scene);
 }
--- a/tests/test-silence.c
+++ b/tests/test-silence.c
@@ -1,5 +1,5 @@
-/* The users' store is silent for a while: calls get no answer, and those that had begun
- * get none afterwards either. What holds once it answers again. */
+/* The store stops responding for a while, and calls begun until then are never answered.
+ * Entries must recover in time once it responds again, whatever call they wait for. */
 #include "cases.h"
 #include "clock.h"
 #include "platform_scene.h"
@@ -7,25 +7,25 @@
 
 #include <string.h>
 
-/* The operator's aim for a version confirmed right after the return. */
+/* The operator's target for applying a version put right after the store's return. */
 #define APPLIED_MS 1000
-/* 300 kB of configuration, 400 kB in the store's encoding, which take the line 0.4 s. */
+/* 300 kB of configuration, 400 kB in base64, which take 0.4 s at LINE_BYTES_PER_S. */
 #define ROUTES 1600
 #define LINE_BYTES_PER_S 1000000
 #define LINE_MS 400
-/* A slow store answers after a second. */
+/* The slow store responds after 1 s: after BEFORE_ANSWER_MS, within ANSWERED_MS more. */
 #define BEFORE_ANSWER_MS 300
 #define ANSWERED_MS 900
-/* The aim for what an entry leaves in the store, and finds there. */
+/* Target for writing an entry's row to the store and for reading its peers' rows. */
 #define ROWS_MS 2000
-/* The store falls silent, and returns, this much after it has taken a call that it never
- * answers: the worst moments for who waits for that answer. */
+/* The store stops responding, and responds again, this long after it received a call that
+ * it never answers: the worst case for the client that waits for the response. */
 #define AFTER_CALL_MS 50
 
 typedef struct
 {
   PlatformScene *scene;
-  const char *counter; /* of the store */
+  const char *counter; /* of the stand-in store */
   guint64 before;
 } CallWait;
 
@@ -49,13 +49,13 @@
 }
 
 static gboolean
-first_is_in_force (gpointer ctx)
+first_is_applied (gpointer ctx)
 {
   return platform_serves (ctx, "/first/");
 }
 
 static gboolean
-second_is_in_force (gpointer ctx)
+second_is_applied (gpointer ctx)
 {
   return platform_serves (ctx, "/second/");
 }
@@ -64,7 +64,7 @@
 {
   const char *name;
   guint silent_ms;
-  gboolean until_call; /* and until a call has begun in it */
+  gboolean until_call; /* and then until the next call has begun */
 } Silence;
 
 static const Silence silences[] = { { "0.1-s", 100, FALSE },
@@ -79,11 +79,11 @@
   static const PlatformInit init = { .entries = 1 };
   const Silence *silence = data;
   PlatformScene scene;
-  gint64 confirmed_ms;
+  gint64 put_ms;
 
   platform_scene_open (&scene, &init);
   platform_put_config (&scene, "/first/");
-  harness_wait (scene.harness, first_is_in_force, &scene, "the first version");
+  harness_wait (scene.harness, first_is_applied, &scene, "the first version");
   wait_for_call (&scene, "config_reads");
   harness_fault (scene.harness, scene.store, "silent");
   harness_run_ms (scene.harness, silence->silent_ms);
@@ -91,49 +91,49 @@
     wait_for_call (&scene, "config_reads");
   harness_fault (scene.harness, scene.store, "ok");
   platform_put_config (&scene, "/second/");
-  confirmed_ms = clock_now_ms ();
-  harness_wait (scene.harness, second_is_in_force, &scene, "the second version");
-  harness_assert_within (confirmed_ms, APPLIED_MS);
+  put_ms = clock_now_ms ();
+  harness_wait (scene.harness, second_is_applied, &scene, "the second version");
+  harness_assert_within (put_ms, APPLIED_MS);
   platform_scene_close (&scene);
 }
 
-/* The connections to the store go silent for good, new ones work. */
+/* The open connections to the store die without a FIN; new ones work. */
 static void
 test_dead_connection (void)
 {
   static const PlatformInit init = { .entries = 1, .line_bytes_per_s = LINE_BYTES_PER_S };
   PlatformScene scene;
-  gint64 confirmed_ms;
+  gint64 put_ms;
 
   platform_scene_open (&scene, &init);
   platform_put_config (&scene, "/first/");
-  harness_wait (scene.harness, first_is_in_force, &scene, "the first version");
+  harness_wait (scene.harness, first_is_applied, &scene, "the first version");
   wait_for_call (&scene, "config_reads");
   relay_set_mode (scene.store_relay, RELAY_VANISH, FALSE);
   platform_put_config (&scene, "/second/");
-  confirmed_ms = clock_now_ms ();
-  harness_wait (scene.harness, second_is_in_force, &scene, "the second version");
-  harness_assert_within (confirmed_ms, APPLIED_MS);
+  put_ms = clock_now_ms ();
+  harness_wait (scene.harness, second_is_applied, &scene, "the second version");
+  harness_assert_within (put_ms, APPLIED_MS);
   platform_scene_close (&scene);
 }
 
-/* The same in the middle of an answer. */
+/* The same in the middle of a response. */
 static void
-test_half_an_answer (void)
+test_partial_response (void)
 {
   static const PlatformInit init = { .entries = 1, .line_bytes_per_s = LINE_BYTES_PER_S };
   PlatformScene scene;
-  gint64 confirmed_ms;
+  gint64 put_ms;
 
   platform_scene_open (&scene, &init);
   platform_put_config (&scene, "/first/");
-  harness_wait (scene.harness, first_is_in_force, &scene, "the first version");
+  harness_wait (scene.harness, first_is_applied, &scene, "the first version");
   platform_put_routes (&scene, "/second/", ROUTES);
-  confirmed_ms = clock_now_ms ();
+  put_ms = clock_now_ms ();
   harness_run_ms (scene.harness, AFTER_CALL_MS);
   relay_set_mode (scene.store_relay, RELAY_VANISH, FALSE);
-  harness_wait (scene.harness, second_is_in_force, &scene, "the second version");
-  harness_assert_within (confirmed_ms, APPLIED_MS + LINE_MS);
+  harness_wait (scene.harness, second_is_applied, &scene, "the second version");
+  harness_assert_within (put_ms, APPLIED_MS + LINE_MS);
   platform_scene_close (&scene);
 }
 
@@ -148,36 +148,37 @@
 }
 
 static gboolean
-is_row_kept (gpointer ctx)
+is_row_stored (gpointer ctx)
 {
   PlatformScene *scene = ctx;
   Exchange *exchange
       = harness_get (scene->harness, scene->store->http, "/rows-get?table=entries&part=");
   const char *address = scene->entries[0]->frames;
   char *value = g_base64_encode ((const guchar *)address, strlen (address));
-  gboolean is_kept = strstr (exchange->body, value) != NULL;
+  gboolean is_stored = strstr (exchange->body, value) != NULL;
 
   g_free (value);
   exchange_free (exchange);
-  return is_kept;
+  return is_stored;
 }
 
 typedef struct
 {
   Harness *harness;
   Process *store;
-} Keep;
+} TextWait;
 
-/* Entries start while the store is silent; @condition holds in time once it is back. */
+/* Entries restart while the store does not respond; @condition must hold within ROWS_MS
+ * of its return. */
 static void
-play_restart (guint entries, const Silence *silence, HarnessCondition condition)
+check_restart (guint entries, const Silence *silence, HarnessCondition condition)
 {
   PlatformInit init = { .entries = entries };
   PlatformScene scene;
   gint64 returned_ms;
 
   platform_scene_open (&scene, &init);
-  harness_wait (scene.harness, condition, &scene, "the first time");
+  harness_wait (scene.harness, condition, &scene, "the condition before the silence");
   harness_fault (scene.harness, scene.store, "silent");
   restart_entries (&scene);
   harness_run_ms (scene.harness, silence->silent_ms);
@@ -185,7 +186,7 @@
     wait_for_call (&scene, "writes");
   harness_fault (scene.harness, scene.store, "ok");
   returned_ms = clock_now_ms ();
-  harness_wait (scene.harness, condition, &scene, "the second time");
+  harness_wait (scene.harness, condition, &scene, "the condition after the silence");
   harness_assert_within (returned_ms, ROWS_MS);
   platform_scene_close (&scene);
 }
@@ -194,44 +195,45 @@
 static void
 test_row (gconstpointer data)
 {
-  play_restart (1, data, is_row_kept);
+  check_restart (1, data, is_row_stored);
 }
 
 static gboolean
-is_second_kept (gpointer ctx)
+is_second_stored (gpointer ctx)
 {
-  Keep *keep = ctx;
+  TextWait *wait = ctx;
   Exchange *exchange
-      = harness_get (keep->harness, keep->store->http, "/rows-get?table=texts&part=");
+      = harness_get (wait->harness, wait->store->http, "/rows-get?table=texts&part=");
   char *value = g_base64_encode ((const guchar *)"second", strlen ("second"));
-  gboolean is_kept = strstr (exchange->body, value) != NULL;
+  gboolean is_stored = strstr (exchange->body, value) != NULL;
 
   g_free (value);
   exchange_free (exchange);
-  return is_kept;
+  return is_stored;
 }
 
-/* The answer to a write that comes after the next text is no answer to that. */
+/* A response that arrives after the next put belongs to the earlier write: it must not
+ * confirm the later one. */
 static void
 test_text_after_text (void)
 {
   static const StoreOps ops = { 0 };
   const char *argv[] = { STORE_EXE, NULL };
-  Keep keep = { harness_new_bare () };
+  TextWait wait = { harness_new_bare () };
   Store *store;
 
-  keep.store = harness_spawn (keep.harness, "store", argv);
-  store = store_new (keep.harness->base, keep.store->http, &ops, NULL);
-  harness_fault (keep.harness, keep.store, "slow");
+  wait.store = harness_spawn (wait.harness, "store", argv);
+  store = store_new (wait.harness->base, wait.store->http, &ops, NULL);
+  harness_fault (wait.harness, wait.store, "slow");
   store_put (store, "texts", "key", "first");
-  harness_run_ms (keep.harness, BEFORE_ANSWER_MS);
-  g_usleep ((gulong)ANSWERED_MS * 1000); /* the answer waits in the socket */
+  harness_run_ms (wait.harness, BEFORE_ANSWER_MS);
+  g_usleep ((gulong)ANSWERED_MS * 1000); /* the response waits in the socket */
   store_put (store, "texts", "key", "second");
-  harness_fault (keep.harness, keep.store, "ok");
-  harness_wait (keep.harness, is_second_kept, &keep, "the second text");
+  harness_fault (wait.harness, wait.store, "ok");
+  harness_wait (wait.harness, is_second_stored, &wait, "the second text");
   store_free (store);
-  process_free (keep.store);
-  harness_free (keep.harness);
+  process_free (wait.store);
+  harness_free (wait.harness);
 }
 
 static gboolean
@@ -243,11 +245,11 @@
          > 0;
 }
 
-/* Entries that know of each other by the store alone. */
+/* Entries learn of each other from the store only. */
 static void
 test_link (gconstpointer data)
 {
-  play_restart (2, data, are_linked);
+  check_restart (2, data, are_linked);
 }
 
 int
@@ -257,7 +259,7 @@
   g_test_set_nonfatal_assertions ();
   ADD_CASES ("/silence/configuration-is-read-after", silences, test_configuration);
   g_test_add_func ("/silence/connection-that-died", test_dead_connection);
-  g_test_add_func ("/silence/half-an-answer", test_half_an_answer);
+  g_test_add_func ("/silence/half-an-answer", test_partial_response);
   ADD_CASES ("/silence/row-is-written-after", silences, test_row);
   g_test_add_func ("/silence/text-after-text", test_text_after_text);
   ADD_CASES ("/silence/entries-link-after", silences, test_link);
--- a/tests/test-zones.c
+++ b/tests/test-zones.c
@@ -1,5 +1,5 @@
-/* The operator closes availability zones and opens them again, among faults of the store
- * and of our own processes. */
+/* The operator closes and opens availability zones while the store, entries and agents
+ * fail. No task may start in a closed zone after the limit. */
 #include "cases.h"
 #include "clock.h"
 #include "platform_scene.h"
@@ -8,19 +8,19 @@
 
 #define SERVERS 4
 #define ZONES 2
-/* The aims: the last start after a zone was closed, the first one after it was opened. */
+/* Targets for the last start after a zone is closed and the first after it is opened. */
 #define CLOSED_MS 1000
 #define OPENED_MS 1000
-/* While entries cannot read the table their agents find that out first. */
-#define ALONE_MS 4000
-/* A heartbeat of a server, after which an agent that was restarted knows its zone. */
-#define RESTARTED_MS 1500
-#define WATCHED_MS 1500
+/* Limit if no entry can read the table, which the agents must detect first. */
+#define CUT_OFF_MS 4000
+/* A restarted agent learns its zone from the next heartbeat of its backend server. */
+#define HEARTBEAT_WAIT_MS 1500
+#define OBSERVE_MS 1500
 #define LINE_BYTES_PER_S 10000000
-/* In flight: what the servers of one zone run at once. */
+/* Jobs in flight: what the backend servers of one zone can run at once. */
 #define JOBS 6
 
-/* Callers that send job after job, by turns to each entry. */
+/* Callers that keep JOBS jobs in flight, spread over the entries. */
 typedef struct
 {
   PlatformScene *scene;
@@ -30,7 +30,7 @@
 } Callers;
 
 static void
-callers_turn (Callers *callers)
+callers_poll (Callers *callers)
 {
   PlatformScene *scene = callers->scene;
 
@@ -59,13 +59,13 @@
 {
   while (clock_now_ms () < until_ms)
     {
-      callers_turn (callers);
+      callers_poll (callers);
       harness_run_ms (callers->scene->harness, 10);
     }
 }
 
 static void
-callers_end (Callers *callers)
+callers_finish (Callers *callers)
 {
   for (guint i = 0; i < JOBS; i++)
     if (callers->exchanges[i] != NULL)
@@ -85,19 +85,19 @@
   return starts;
 }
 
-/* What happens around the order to close z0; the order itself is given in between. */
+/* Faults injected before and after zone z0 is closed. */
 typedef struct
 {
   const char *name;
   void (*before) (PlatformScene *scene);
   void (*after) (PlatformScene *scene);
   guint entries;
-  gboolean cut_off; /* the last entry's way to the store can be cut */
+  gboolean relayed; /* the last entry reaches the store through a relay */
   guint within_ms;
 } Case;
 
 static void
-nothing (PlatformScene *scene)
+do_nothing (PlatformScene *scene)
 {
 }
 
@@ -122,7 +122,7 @@
 }
 
 static void
-store_forgets (PlatformScene *scene)
+drop_store_history (PlatformScene *scene)
 {
   harness_fault (scene->harness, scene->store, "forget");
 }
@@ -163,20 +163,20 @@
 }
 
 static const Case cases[] = {
-  { "while-tasks-run", nothing, nothing, 2, FALSE, CLOSED_MS },
-  { "one-entry-is-cut-off", cut_last_entry, nothing, 2, TRUE, CLOSED_MS },
-  { "the-only-entry-is-cut-off", cut_last_entry, nothing, 1, TRUE, ALONE_MS },
-  { "after-a-silence", silence_store, nothing, 2, FALSE, CLOSED_MS },
-  { "slow-store", slow_store, nothing, 2, FALSE, 3 * CLOSED_MS },
-  { "history-lost", nothing, store_forgets, 2, FALSE, CLOSED_MS },
-  { "opened-and-closed-at-once", nothing, open_and_close, 2, FALSE, CLOSED_MS },
-  { "with-an-unreadable-row", add_unreadable, nothing, 2, FALSE, CLOSED_MS },
-  { "agent-restarts", nothing, restart_agent, 2, FALSE, CLOSED_MS },
-  { "entry-restarts", nothing, restart_entry, 2, FALSE, CLOSED_MS },
-  { "agent-thaws", nothing, stop_and_continue, 2, FALSE, 2 * CLOSED_MS },
+  { "while-tasks-run", do_nothing, do_nothing, 2, FALSE, CLOSED_MS },
+  { "one-entry-is-cut-off", cut_last_entry, do_nothing, 2, TRUE, CLOSED_MS },
+  { "the-only-entry-is-cut-off", cut_last_entry, do_nothing, 1, TRUE, CUT_OFF_MS },
+  { "after-a-silence", silence_store, do_nothing, 2, FALSE, CLOSED_MS },
+  { "slow-store", slow_store, do_nothing, 2, FALSE, 3 * CLOSED_MS },
+  { "history-lost", do_nothing, drop_store_history, 2, FALSE, CLOSED_MS },
+  { "opened-and-closed-at-once", do_nothing, open_and_close, 2, FALSE, CLOSED_MS },
+  { "with-an-unreadable-row", add_unreadable, do_nothing, 2, FALSE, CLOSED_MS },
+  { "agent-restarts", do_nothing, restart_agent, 2, FALSE, CLOSED_MS },
+  { "entry-restarts", do_nothing, restart_entry, 2, FALSE, CLOSED_MS },
+  { "agent-thaws", do_nothing, stop_and_continue, 2, FALSE, 2 * CLOSED_MS },
 };
 
-/* A start in a closed zone goes down with the machines that are taken away there. */
+/* A task started in a closed zone would be lost with the VMs that are removed there. */
 static void
 test_closed (gconstpointer data)
 {
@@ -185,12 +185,12 @@
                         .servers = SERVERS,
                         .zones = ZONES,
                         .configured = TRUE,
-                        .line_bytes_per_s = closing->cut_off ? LINE_BYTES_PER_S : 0 };
+                        .line_bytes_per_s = closing->relayed ? LINE_BYTES_PER_S : 0 };
   PlatformScene scene;
   Callers callers = { &scene };
   gint64 closed_ms;
   gint64 opened_ms;
-  gint64 fence_ms;
+  gint64 effective_ms;
 
   platform_scene_open (&scene, &init);
   closing->before (&scene);
@@ -199,18 +199,18 @@
   platform_close_zone (&scene, "z0");
   closed_ms = clock_now_ms ();
   closing->after (&scene);
-  fence_ms = closed_ms + closing->within_ms;
-  callers_run (&callers, fence_ms + WATCHED_MS);
-  g_assert_cmpuint (starts_in (&scene, 0, fence_ms, G_MAXINT64), ==, 0);
-  g_assert_cmpuint (starts_in (&scene, 1, fence_ms, G_MAXINT64), >, 0);
+  effective_ms = closed_ms + closing->within_ms;
+  callers_run (&callers, effective_ms + OBSERVE_MS);
+  g_assert_cmpuint (starts_in (&scene, 0, effective_ms, G_MAXINT64), ==, 0);
+  g_assert_cmpuint (starts_in (&scene, 1, effective_ms, G_MAXINT64), >, 0);
   g_assert_cmpuint (callers.refused, ==, 0);
   platform_open_zone (&scene, "z0");
   opened_ms = clock_now_ms ();
-  callers_run (&callers, opened_ms + closing->within_ms + RESTARTED_MS);
-  g_assert_cmpuint (
-      starts_in (&scene, 0, opened_ms, opened_ms + closing->within_ms + RESTARTED_MS), >,
-      0);
-  callers_end (&callers);
+  callers_run (&callers, opened_ms + closing->within_ms + HEARTBEAT_WAIT_MS);
+  g_assert_cmpuint (starts_in (&scene, 0, opened_ms,
+                               opened_ms + closing->within_ms + HEARTBEAT_WAIT_MS),
+                    >, 0);
+  callers_finish (&callers);
   platform_check_runs (&scene, NULL, NULL);
   platform_scene_close (&scene);
 }
@@ -229,7 +229,8 @@
   return refused;
 }
 
-/* With all zones closed callers waited for their whole time. */
+/* With all zones closed, callers waited until their deadline; they must be refused at
+ * once. */
 static void
 test_all_closed (void)
 {
