--- a/src/admission.c
+++ b/src/admission.c
@@ -11,7 +11,7 @@
 static double
 expected_wait_ms (const AdmissionLoad *load, const AdmissionJob *job, double rank)
 {
-  double arriving = arrivals_before (load->arrivals, rank, load->now_ms);
+  double arriving = arrivals_rate_below (load->arrivals, rank, load->now_ms);
   double share_left = MAX (1 - arriving / load->rate, 1 / MAX_STRETCH);
 
   return job->ahead / load->rate / share_left + job->work / load->capacity;
--- a/src/arrivals.c
+++ b/src/arrivals.c
@@ -44,7 +44,7 @@
 }
 
 double
-arrivals_before (const Arrivals *arrivals, double rank, gint64 now_ms)
+arrivals_rate_below (const Arrivals *arrivals, double rank, gint64 now_ms)
 {
   guint bucket = bucket_of (rank);
   gint64 counted_ms = now_ms - arrivals->first_ms - INRUSH_MS;
--- a/src/dispatcher_order.c
+++ b/src/dispatcher_order.c
@@ -284,7 +284,7 @@
               "work_ahead=%.0f rate=%.0f arriving=%.0f wait_ms=%.0f task_ms=%.0f "
               "objective_left_ms=%" G_GINT64_FORMAT " age_ms=%" G_GINT64_FORMAT,
               admission->ahead, load->rate,
-              arrivals_before (load->arrivals, admission->rank_late, load->now_ms),
+              arrivals_rate_below (load->arrivals, admission->rank_late, load->now_ms),
               admission->wait_ms, job->task_ms, job->objective_ms - load->now_ms,
               load->now_ms - job->spec.arrived_ms);
   job_answer (job, LEASED_REFUSED, "more urgent work takes all room",
--- a/tests/test-admission.c
+++ b/tests/test-admission.c
@@ -3,29 +3,30 @@
 #include "cases.h"
 
 #define NOW_MS 100000
-/* Ten cores for this entry, thirty for all: ms x thousandths of a core per ms. */
-#define RATE 10000.0
-#define CAPACITY 30000.0
-#define WORK_A_MS RATE
-#define LATE_PART 0.2
+/* Work is in ms x thousandths of a core. */
+#define RATE 10000.0      /* completed per ms by this entry's runs: 10 cores */
+#define CAPACITY 30000.0  /* of all servers, per ms */
+#define LATE_FRACTION 0.2 /* benefit of a late job, relative to one on time */
+#define RANK_AHEAD 0.01   /* of the work that arrives */
+#define STEP_MS 10
 
 /* One job to decide on, with work ahead of it and more of lower rank arriving. */
 typedef struct
 {
   const char *name;
-  double ahead_ms; /* work ahead of it */
-  double arriving; /* share of the entry's capacity that this work takes */
-  gint64 left_ms;  /* until its objective, which is 200 ms long */
-  gint64 late_left_ms;
-  gboolean ordered; /* some of its tasks were ordered already */
+  double ahead_ms;     /* work queued ahead of it, in ms at RATE */
+  double arriving;     /* work of lower rank that arrives, as a fraction of RATE */
+  gint64 left_ms;      /* until its objective, which is 200 ms long */
+  gint64 late_left_ms; /* until even a late result is of no value */
+  gboolean ordered;    /* a run order was sent for some of its tasks */
   gboolean refused;
 } AdmissionCase;
 
 #define TASK_MS 100
 
-/* Callers are refused while capacity frees every few ms, if a job is judged by the time
- * that has passed instead of its remaining wait; or they wait until their time is over,
- * if only the queued work counts and not what arrives ahead of the job meanwhile. */
+/* Guards against two faults: judging a job by its time waited so far, not its remaining
+ * wait, refuses it although capacity frees every few ms; counting only the queued work,
+ * and not what will arrive ahead of the job, keeps it until its time is over. */
 static const AdmissionCase cases[] = {
   { "alone", 0, 0, 200, 600, FALSE, FALSE },
   { "waits-its-turn", 60, 0, 140, 540, FALSE, FALSE },
@@ -39,10 +40,10 @@
 };
 
 static void
-arrive (Arrivals *arrivals, double part)
+arrive (Arrivals *arrivals, double fraction)
 {
-  for (gint64 at = NOW_MS - 10000; at < NOW_MS; at += 10)
-    arrivals_observe (arrivals, 0.01, part * WORK_A_MS * 10, at);
+  for (gint64 at = NOW_MS - 10000; at < NOW_MS; at += STEP_MS)
+    arrivals_observe (arrivals, RANK_AHEAD, fraction * RATE * STEP_MS, at);
 }
 
 static void
@@ -52,13 +53,10 @@
   Arrivals arrivals = { 0 };
   AdmissionLoad load = { RATE, CAPACITY, &arrivals, NOW_MS };
   AdmissionJob jobs[2] = {
-    { .rank = 0.02,
-      .rank_on_time = 0.02,
-      .rank_late = 0.1,
-      .work = c->ahead_ms * WORK_A_MS },
+    { .rank = 0.02, .rank_on_time = 0.02, .rank_late = 0.1, .work = c->ahead_ms * RATE },
     { .rank = 1,
       .rank_on_time = 1,
-      .rank_late = 1 / LATE_PART,
+      .rank_late = 1 / LATE_FRACTION,
       .work = 1000,
       .task_ms = TASK_MS,
       .objective_ms = NOW_MS + c->left_ms,
@@ -85,8 +83,8 @@
     {
       AdmissionJob job = { .rank = i + 1,
                            .rank_on_time = i + 1,
-                           .rank_late = (i + 1) / LATE_PART,
-                           .work = 400 * WORK_A_MS,
+                           .rank_late = (i + 1) / LATE_FRACTION,
+                           .work = 400 * RATE,
                            .task_ms = TASK_MS,
                            .objective_ms = NOW_MS + 600,
                            .late_ms = NOW_MS + 600,
@@ -98,7 +96,7 @@
   admission_decide (&load, jobs, G_N_ELEMENTS (jobs));
   g_assert_false (jobs[0].refused);
   g_assert_true (jobs[1].refused);
-  g_assert_cmpfloat (jobs[2].ahead, ==, 400 * WORK_A_MS);
+  g_assert_cmpfloat (jobs[2].ahead, ==, 400 * RATE);
 }
 
 static void
@@ -108,21 +106,21 @@
   double before;
 
   arrive (&arrivals, 0.5);
-  before = arrivals_before (&arrivals, 1, NOW_MS);
-  g_assert_cmpfloat_with_epsilon (before, 0.5 * WORK_A_MS, 0.02 * WORK_A_MS);
-  g_assert_cmpfloat (arrivals_before (&arrivals, 0.005, NOW_MS), <, before / 100);
-  g_assert_cmpfloat (arrivals_before (&arrivals, 1, NOW_MS + 3000), <, before / 10);
+  before = arrivals_rate_below (&arrivals, 1, NOW_MS);
+  g_assert_cmpfloat_with_epsilon (before, 0.5 * RATE, 0.02 * RATE);
+  g_assert_cmpfloat (arrivals_rate_below (&arrivals, 0.005, NOW_MS), <, before / 100);
+  g_assert_cmpfloat (arrivals_rate_below (&arrivals, 1, NOW_MS + 3000), <, before / 10);
 }
 
-/* Work that gathered before an entry's start arrives at once and is no lasting rate. */
+/* Jobs that gathered before an entry's start arrive at once and are no lasting rate. */
 static void
 test_inrush_is_not_counted (void)
 {
   Arrivals arrivals = { 0 };
 
   for (guint i = 0; i < 100; i++)
-    arrivals_observe (&arrivals, 1, 100 * WORK_A_MS, NOW_MS + i);
-  g_assert_cmpfloat (arrivals_before (&arrivals, 10, NOW_MS + 100), ==, 0);
+    arrivals_observe (&arrivals, 1, 100 * RATE, NOW_MS + i);
+  g_assert_cmpfloat (arrivals_rate_below (&arrivals, 10, NOW_MS + 100), ==, 0);
 }
 
 /* Ranks from zero to those of infeasible jobs stay within the buckets. */
@@ -136,7 +134,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (ranks); i++)
     arrivals_observe (&arrivals, ranks[i], 100, NOW_MS);
   for (guint i = 0; i < G_N_ELEMENTS (ranks); i++)
-    g_assert_cmpfloat (arrivals_before (&arrivals, ranks[i], NOW_MS), >, 0);
+    g_assert_cmpfloat (arrivals_rate_below (&arrivals, ranks[i], NOW_MS), >, 0);
 }
 
 int
