--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -126,7 +126,7 @@
   'for (gsize i = 0; i < frame->n_acks; i++)
     home_ack (home, frame->acks[i]);
   for (gsize i = 0; i < frame->n_grants; i++)' test-home /home/granted-and-finished
-mutant given-up-unnoticed src/members.c 'if (frame->given_up > member->given_up_by)' \
+mutant given-up-unnoticed src/members.c 'if (frame->given_up > member->declared_us_dead_seq)' \
   'if (FALSE)' test-once /once/new-owner-after-settlement
 mutant look-by-lease src/runner.c 'MIN (runner->lease_sent_ms, runner->listed_ms)' \
   'runner->lease_sent_ms' test-runner /runner/ends-are-looked-for-under-starts
--- a/src/entry_links.c
+++ b/src/entry_links.c
@@ -4,8 +4,6 @@
 #include "entry_parts.h"
 #include "messages.h"
 
-/* Frames. */
-
 static void
 handle_rosters (Entry *entry, const Member *member, const Gw__Frame *frame)
 {
@@ -32,6 +30,7 @@
       g_hash_table_replace (entry->roster_acks,
                             entry_ack_key (member->incarnation, ack->group),
                             g_memdup2 (&ack->version, sizeof ack->version));
+      /* The member's tasks are placed only once it has acknowledged the roster. */
       home_slots_freed (entry->home, backends_group (entry->backends, ack->group));
     }
 }
@@ -92,6 +91,7 @@
     holder_outcome (entry->holder, outcome);
   else
     counter_add (COUNTER_STALE_OUTCOMES, 1);
+  /* An agent waits for no acknowledgement of a task that did not run. */
   if (outcome->kind == GW__OUTCOME__KIND__NOT_RUN)
     return;
   ref.index = outcome->index;
@@ -186,7 +186,7 @@
   const Member *member = members_find_link (entry->members, link);
   const Backend *backend;
 
-  frame->given_up = member != NULL ? member->given_up : 0;
+  frame->given_up = member != NULL ? member->declared_dead_seq : 0;
   frame->config_version = config_version (entry->config);
   frame->config_confirmed = config_confirmed (entry->config);
   frame->leaving = members_leaving (entry->members);
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -414,7 +414,7 @@
  * dead: the member's tasks here were reconciled and granted elsewhere, and must not start
  * at slot owners that the reconciliation did not know. */
 static void
-members_given_up (Member *member, gpointer ctx)
+members_declared_us_dead (Member *member, gpointer ctx)
 {
   Entry *entry = ctx;
 
@@ -457,4 +457,4 @@
 }
 
 const MembersOps entry_members_ops
-    = { members_up, members_lost, members_given_up, members_changed };
+    = { members_up, members_lost, members_declared_us_dead, members_changed };
--- a/src/members.c
+++ b/src/members.c
@@ -82,7 +82,7 @@
   member->state = MEMBER_DOWN;
   if (!changed_state)
     return;
-  member->given_up = ++members->given_up;
+  member->declared_dead_seq = ++members->declarations;
   log_notice ("entry %s is lost%s", member->name, proved_dead ? ", proved dead" : "");
   timeline_add ("entry-lost", NULL, -1, member->name);
   members->ops->lost (member, member->incarnation, members->ctx);
@@ -103,8 +103,8 @@
   member->proved_dead = FALSE;
   member->draining = FALSE;
   member->config_version = 0;
-  member->given_up = 0;
-  member->given_up_by = 0;
+  member->declared_dead_seq = 0;
+  member->declared_us_dead_seq = 0;
 }
 
 static void
@@ -394,11 +394,11 @@
 members_frame_received (Members *members, Member *member, const Gw__Frame *frame)
 {
   member->received_ms = clock_now_ms ();
-  if (frame->given_up > member->given_up_by)
+  if (frame->given_up > member->declared_us_dead_seq)
     {
-      member->given_up_by = frame->given_up;
+      member->declared_us_dead_seq = frame->given_up;
       log_notice ("entry %s had declared this one dead", member->name);
-      members->ops->given_up (member, members->ctx);
+      members->ops->declared_us_dead (member, members->ctx);
     }
   member->config_version = MAX (member->config_version, frame->config_version);
   set_draining (members, member, frame->leaving);
--- a/src/members.h
+++ b/src/members.h
@@ -1,6 +1,6 @@
 #pragma once
-/* Membership of the entries: discovers them through the platform's table, other entries
- * and settings, keeps links to them, and picks the home of each group. */
+/* Membership of the entries: discovers them through the platform's table of entries,
+ * other entries and settings, keeps links to them, and picks the home of each group. */
 #include "link.h"
 #include "settings.h"
 #include "table.h"
@@ -15,7 +15,7 @@
   MEMBER_KNOWN, /* never linked */
   MEMBER_UP,
   MEMBER_SUSPECT, /* link lost, not yet declared dead */
-  MEMBER_DOWN,
+  MEMBER_DOWN,    /* declared dead */
 } MemberState;
 
 typedef struct Member
@@ -29,18 +29,18 @@
   char *http_address;
   MemberState state;
   gboolean proved_dead; /* connection refused, or link closed while leaving */
-  gboolean draining;
+  gboolean draining;    /* it reports that it is leaving */
   Link *link;
   Link *dialing;
   gint64 linked_ms;   /* when the link came up */
   gint64 received_ms; /* last frame received on any link */
   gint64 lost_ms;     /* when it became suspect or down */
   gint64 dialed_ms;
-  guint64 given_up;       /* Members.given_up when last declared dead; 0: never */
-  guint64 given_up_by;    /* the same counter at the member, as last reported */
-  guint64 config_version; /* as last reported */
-  guint64 pushed_version; /* of the configuration last sent over its link */
-  gint64 row_version;     /* of its row in the table */
+  guint64 declared_dead_seq;    /* number of our declaration of its death; 0: none */
+  guint64 declared_us_dead_seq; /* the same of the member about us, as last reported */
+  guint64 config_version;       /* as last reported */
+  guint64 pushed_version;       /* of the configuration last sent over its link */
+  gint64 row_version;           /* of its row in the table */
   gint64 row_changed_ms;
 } Member;
 
@@ -52,8 +52,8 @@
   /* The member's incarnation is declared dead. */
   void (*lost) (Member *member, guint64 incarnation, gpointer ctx);
   /* The member had declared this process dead and acted on it. */
-  void (*given_up) (Member *member, gpointer ctx);
-  /* The rendezvous ranks may have changed. */
+  void (*declared_us_dead) (Member *member, gpointer ctx);
+  /* The rendezvous ranks may have changed, and with them the home of a group. */
   void (*changed) (gpointer ctx);
 } MembersOps;
 
@@ -85,7 +85,8 @@
 /** members_home - the home of @group; NULL: this entry itself. */
 Member *members_home (Members *members, const char *group);
 
-/** members_successor - the next home if the home is lost; *self: it is this entry. */
+/** members_successor - the next home if the home is lost. Return: NULL if there is none
+ * or, with @self set, it is this entry. */
 Member *members_successor (Members *members, const char *group, gboolean *self);
 
 Member *members_by_incarnation (const Members *members, guint64 incarnation);
--- a/src/members_parts.h
+++ b/src/members_parts.h
@@ -14,10 +14,10 @@
   const MembersOps *ops;
   gpointer ctx;
   struct event *tick;
-  struct event *poll;
-  gboolean polling;
+  struct event *poll; /* reads the table */
+  gboolean polling;   /* a read is in flight */
   gboolean leaving;
-  guint64 given_up; /* number of times a member was declared dead */
+  guint64 declarations; /* number of times a member was declared dead */
   gint64 row_written_ms;
   TAILQ_HEAD (, Member) list;
 };
