--- a/src/link.c
+++ b/src/link.c
@@ -221,7 +221,7 @@
   link->heartbeat_ms = config->heartbeat_ms;
   link->timeout_ms = config->timeout_ms;
   link->bev = bufferevent_socket_new (config->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  for (int i = 0; i < LINK_LISTS; i++)
+  for (int i = 0; i < LINK_N_LISTS; i++)
     link->lists[i] = g_ptr_array_new_with_free_func (link_free_message);
   link->hello_due = TRUE;
   link->received_ms = clock_now_ms ();
@@ -291,7 +291,7 @@
 
   if (!link->closed)
     link_release (link);
-  for (int i = 0; i < LINK_LISTS; i++)
+  for (int i = 0; i < LINK_N_LISTS; i++)
     g_ptr_array_unref (link->lists[i]);
   if (link->peer != NULL)
     gw__hello__free_unpacked (link->peer, NULL);
--- a/src/link.h
+++ b/src/link.h
@@ -39,7 +39,7 @@
   Gw__Hello *hello; /* sent first on every link */
   guint heartbeat_ms;
   guint timeout_ms;
-  guint connect_timeout_ms; /* 0: a second */
+  guint connect_timeout_ms; /* 0: 1000 */
 } LinkConfig;
 
 /* The lists of a frame that can be appended to. */
@@ -57,10 +57,10 @@
   LINK_ROSTER_ACKS,
   LINK_GROUP_LOADS,
   LINK_ANNOUNCEMENTS,
-  LINK_RUN_ORDERS,
+  LINK_RUN_ORDERS, /* entry to agent; LINK_STARTS: home to slot owner */
   LINK_RUN_STOPS,
   LINK_RUN_REPORTS,
-  LINK_LISTS,
+  LINK_N_LISTS,
 } LinkList;
 
 /**
@@ -98,7 +98,7 @@
  */
 void link_append (Link *link, LinkList list, ProtobufCMessage *message);
 
-/** link_append_lazily - like link_append (), but sent with the next frame. */
+/** link_append_lazily - like link_append (), but does not cause a frame by itself. */
 void link_append_lazily (Link *link, LinkList list, ProtobufCMessage *message);
 
 /**
@@ -114,7 +114,7 @@
 /** link_unsent - bytes buffered in this process for the link. */
 gsize link_unsent (const Link *link);
 
-/** link_send_inventory - mark the next frame's reports as the complete list. */
+/** link_send_inventory - mark the run reports of the next frame as the complete list. */
 void link_send_inventory (Link *link);
 
 /** link_touch - send a frame in this iteration even if nothing was appended. */
--- a/src/link_parts.h
+++ b/src/link_parts.h
@@ -12,7 +12,7 @@
   struct event *heartbeat;
   struct event *flush;
   Gw__Hello *peer;
-  GPtrArray *lists[LINK_LISTS];
+  GPtrArray *lists[LINK_N_LISTS];
   gsize pending_bytes;
   Gw__Load *load;
   Gw__Config *pending_config;
--- a/src/link_send.c
+++ b/src/link_send.c
@@ -10,12 +10,12 @@
 #include <event2/bufferevent.h>
 
 /* A frame is sent at once when its messages exceed this. */
-#define FRAME_FULL (1u << 20)
+#define FRAME_FULL_BYTES (1u << 20)
 
 void
 link_clear_lists (Link *link)
 {
-  for (int i = 0; i < LINK_LISTS; i++)
+  for (int i = 0; i < LINK_N_LISTS; i++)
     g_ptr_array_set_size (link->lists[i], 0);
   link->pending_bytes = 0;
   g_clear_pointer (&link->load, g_free);
@@ -30,7 +30,9 @@
   protobuf_c_message_free_unpacked (data, NULL);
 }
 
-/* Whether a frame carries control messages, apart from what is piggybacked. */
+/* Whether a frame carries control messages, apart from what is piggybacked. Run orders,
+ * run stops and group loads are not listed: a frame with them counts as a heartbeat if
+ * one is due. */
 static gboolean
 frame_is_control (const Gw__Frame *frame)
 {
@@ -39,6 +41,7 @@
          || frame->n_rosters > 0 || frame->n_announcements > 0;
 }
 
+/* A frame counts as one kind only, the first below that applies. */
 static void
 count_frame (const Gw__Frame *frame, gsize size, gboolean heartbeat_due)
 {
@@ -110,7 +113,7 @@
       ATTACH (LINK_RUN_ORDERS, run_orders);
       ATTACH (LINK_RUN_STOPS, run_stops);
       ATTACH (LINK_RUN_REPORTS, run_reports);
-    case LINK_LISTS:
+    case LINK_N_LISTS:
       g_assert_not_reached ();
     }
 #undef ATTACH
@@ -130,7 +133,7 @@
   frame.config = link->pending_config;
   frame.inventory = link->inventory_due;
   link->inventory_due = FALSE;
-  for (int i = 0; i < LINK_LISTS; i++)
+  for (int i = 0; i < LINK_N_LISTS; i++)
     frame_attach (&frame, i, link->lists[i]);
   frame.sequence = ++link->sent_sequence;
   frame.stamp = hlc_now ();
@@ -171,7 +174,7 @@
     }
   g_ptr_array_add (link->lists[list], message);
   link->pending_bytes += protobuf_c_message_get_packed_size (message);
-  if (link->pending_bytes > FRAME_FULL)
+  if (link->pending_bytes > FRAME_FULL_BYTES)
     link_send_pending (link);
 }
 
