--- a/src/holder.c
+++ b/src/holder.c
@@ -136,7 +136,7 @@
 JobKey
 holder_reserve (Holder *holder)
 {
-  JobKey key = { holder->incarnation, ++holder->numbers };
+  JobKey key = { holder->incarnation, ++holder->last_job_number };
 
   return key;
 }
--- a/src/holder_parts.h
+++ b/src/holder_parts.h
@@ -12,12 +12,13 @@
   char *service;
   char *group;
   guint32 grant;
-  guint64 home; /* 0: not granted before regrant_ms */
+  guint64 home; /* 0: none, to be granted again at regrant_ms */
   gint64 regrant_ms;
   gboolean reconciling;
-  guint open;
+  guint open; /* tasks that have not ended */
 };
 
+/* Load last reported by a group's home. */
 typedef struct
 {
   guint wait_ms;
@@ -30,10 +31,10 @@
   guint64 incarnation;
   const HolderOps *ops;
   gpointer ctx;
-  guint64 numbers;
+  guint64 last_job_number;
   GHashTable *jobs;      /* JobKey -> HeldJob */
   GHashTable *groups;    /* name -> GroupInfo */
-  GHashTable *abandoned; /* JobKey -> gint64 since_ms */
+  GHashTable *abandoned; /* reserved ids: JobKey -> gint64 since_ms */
   LIST_HEAD (, HeldJob) running;
   TAILQ_HEAD (EndedList, HeldJob) ended; /* oldest first */
   gsize ended_bytes;
@@ -58,8 +59,10 @@
                        Gw__Outcome__Reason reason,
                        int index,
                        guint retry_after_s);
+/* Ends a job in state JOB_ENDING once no more outcomes are needed. */
 void holder_check_ending (Holder *holder, HeldJob *job);
 void holder_task_regrant (Holder *holder, HeldJob *job, HeldTask *task);
+/* Records the outcome; holder_after_end () then retries the task or ends the job. */
 void holder_task_end (HeldJob *job, HeldTask *task, const Gw__Outcome *outcome);
 void holder_after_end (Holder *holder,
                        HeldJob *job,
@@ -67,4 +70,5 @@
                        const Gw__Outcome *outcome);
 
 /* holder_groups.c */
+/* The group with the shortest expected wait. Return: *chosen, which the caller frees. */
 const char *holder_choose_group (Holder *holder, const char *service, char **chosen);
--- a/src/home_owners.c
+++ b/src/home_owners.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "home"
-/* Slot owners that are reached again, which are asked about their placed tasks, and slot
- * owners that are lost, whose tasks end. */
+/* Slot owners that reconnect, which are asked which placed tasks they started, and slot
+ * owners that are lost, whose tasks end. Backend is the home's record of a slot owner. */
 #include "counters.h"
 #include "home_parts.h"
 #include "messages.h"
@@ -33,11 +33,11 @@
 home_backend_reached (Home *home, Backend *backend)
 {
   PlacedList *list = home_placed_list (home, backend);
-  guint64 query = ++home->queries;
+  guint64 query = ++home->last_query;
   HomeTask *task;
 
   LIST_FOREACH (task, &list->tasks, placed_entry)
-    if (task->fence_query != query)
+    if (task->fence_query != query) /* send_fence () covers all tasks of a job */
       send_fence (list, backend, &task->job->key.job, query);
 }
 
@@ -112,9 +112,10 @@
   return mine;
 }
 
-/* Sends the outcomes that wait for other tasks of their job, because their slot owner
- * leaves the roster. A holder that loses this home asks only the slot owners in the
- * roster; none of them would know the task, and it would run a second time. */
+/* Called when a slot owner leaves the roster. Reports at once the outcomes that are held
+ * back until the other tasks of their job end: a holder that loses this home asks only
+ * the slot owners in the roster; none of them would know the task, and it would run a
+ * second time. */
 static void
 report_pending (const PlacedList *list)
 {
--- a/src/home_parts.h
+++ b/src/home_parts.h
@@ -90,7 +90,7 @@
   GHashTable *jobs;   /* PartKey -> HomeJob */
   GHashTable *placed; /* Backend -> PlacedList */
   LIST_HEAD (, HomeJob) job_list;
-  guint64 queries;
+  guint64 last_query; /* number of the last fence query */
   guint open_tasks;
   gboolean leaving;
   gint64 swept_ms;
