--- a/src/catalog.c
+++ b/src/catalog.c
@@ -73,6 +73,7 @@
       const JobQueue *queue = g_ptr_array_index (catalog->queues, i);
       gsize length = strlen (queue->prefix);
 
+      /* Of equally long prefixes the last wins. */
       if (length < best_length || strncmp (path, queue->prefix, length) != 0
           || !host_matches (queue->host, host))
         continue;
--- a/src/demand.h
+++ b/src/demand.h
@@ -15,7 +15,7 @@
 gboolean demand_fits (const Demand *capacity, const Demand *used, const Demand *need);
 void demand_add (Demand *sum, const Demand *part);
 
-/** demand_subtract - subtract each resource, down to zero. */
+/** demand_subtract - subtract each resource; results below zero become zero. */
 void demand_subtract (Demand *sum, const Demand *part);
 
 /** demand_from_wire - NULL gives an empty demand. */
--- a/src/hedged_call.c
+++ b/src/hedged_call.c
@@ -30,7 +30,7 @@
   TAILQ_HEAD (, Attempt) attempts;
   HedgeView view;
   gint64 last_data_ms;
-  gboolean sent; /* by a failed attempt: the server may have executed it */
+  gboolean maybe_executed; /* a failed attempt was sent at least in part */
 };
 
 static void
@@ -76,9 +76,10 @@
   return FALSE;
 }
 
-/* Otherwise several copies of a large answer would share the link. */
+/* One answer is arriving: a second copy of a large one would take part of its bandwidth.
+ */
 static void
-drop_unanswered (HedgedCall *call)
+drop_silent_attempts (HedgedCall *call)
 {
   Attempt *attempt;
   Attempt *next;
@@ -103,16 +104,16 @@
   call->last_data_ms = clock_now_ms ();
   call->view.progress_ms = call->last_data_ms;
   if (is_first)
-    drop_unanswered (call);
+    drop_silent_attempts (call);
   schedule (call);
 }
 
 static void
-fail (HedgedCall *call, const HttpAnswer *answer)
+attempt_failed (HedgedCall *call, const HttpAnswer *answer)
 {
   HttpAnswer last = *answer;
 
-  call->sent |= answer->end == HTTP_BROKEN;
+  call->maybe_executed |= answer->end == HTTP_BROKEN;
   call->ops->attempt_failed (answer, call->ctx);
   call->view.is_arriving = is_any_arriving (call);
   if (!TAILQ_EMPTY (&call->attempts))
@@ -120,7 +121,7 @@
       schedule (call);
       return;
     }
-  last.end = call->sent ? HTTP_BROKEN : HTTP_NOT_SENT;
+  last.end = call->maybe_executed ? HTTP_BROKEN : HTTP_NOT_SENT;
   call->ops->done (&last, call->ctx);
   hedged_call_drop (call);
 }
@@ -134,7 +135,7 @@
   attempt_free (attempt);
   if (answer->end != HTTP_ANSWERED)
     {
-      fail (call, answer);
+      attempt_failed (call, answer);
       return;
     }
   call->ops->done (answer, call->ctx);
@@ -160,6 +161,7 @@
   attempt->call = call;
   TAILQ_INSERT_TAIL (&call->attempts, attempt, link);
   call->view.attempts++;
+  /* No answer is due before the server's wait is over. */
   call->view.progress_ms = clock_now_ms () + wait_ms;
   call->view.jitter = g_random_double ();
   attempt->job = http_pool_call (call->pool, &http);
--- a/src/http.h
+++ b/src/http.h
@@ -21,7 +21,7 @@
   HttpEnd end;
   gboolean timed_out; /* ended by the call's own timeout */
   gsize received;     /* bytes of the response, including its headers */
-  gint64 begun_ms; /* from the call to the first byte, or to the end if there is none */
+  gint64 begun_ms;    /* duration from the call to the first byte, or else to its end */
   int status;
   const char *retry_after; /* the header's value, or NULL */
   const void *body;
@@ -38,8 +38,8 @@
   const void *body;
   gsize size;
   guint timeout_ms; /* from call to complete response; with @silence_ms, to first byte */
-  guint silence_ms; /* 0, or the timeout between two pieces of the response: a large one
-                     * over a slow link is not aborted while it arrives */
+  guint silence_ms; /* timeout between two pieces of the response, 0: none; does not abort
+                     * a large one over a slow link while it arrives */
   gboolean fresh;   /* not on a reused connection, which may be dead */
   void (*heard) (gpointer ctx); /* NULL, or called for each piece of the response */
   HttpDone done; /* called once, never before http_pool_call () has returned */
--- a/src/settings.h
+++ b/src/settings.h
@@ -16,25 +16,25 @@
   char *advertise_http;   /* empty: listen_http */
   char *advertise_frames; /* empty: listen_frames */
   char *log_level;
-  guint timeline_events;
-  guint events_per_s;
-  guint heartbeat_ms;
-  guint timeout_ms;
+  guint timeline_events; /* kept in memory */
+  guint events_per_s;    /* logged; requests are sampled beyond it */
+  guint heartbeat_ms;    /* of links */
+  guint timeout_ms;      /* of links */
 
   char *table_address;
   guint table_timeout_ms;
   guint table_writes_per_s;
-  char **peers;
+  char **peers; /* an entry's: frame addresses of other entries */
   guint config_poll_ms;
-  guint config_unconfirmed_ms;
+  guint config_unconfirmed_ms; /* new work is refused after this */
   guint agent_lost_ms;
-  guint announcement_ms;
-  guint drain_grace_ms;
-  guint drain_limit_ms;
+  guint announcement_ms; /* lifetime, of a backend server without an agent */
+  guint drain_grace_ms;  /* after SIGTERM, requests are still taken this long */
+  guint drain_limit_ms;  /* longest wait for what is in flight */
   guint entry_lease_ms;
   guint server_lease_ms;
 
-  char **entries;
+  char **entries; /* an agent's: HTTP addresses of the entries */
   char *backend_address;
   char *backend_service;
   guint backend_slots;
@@ -42,11 +42,12 @@
   guint backend_memory_mb;
 } Settings;
 
+/* Bits, so that a setting can name several kinds of process. */
 typedef enum
 {
   SETTINGS_ENTRY = 1,
   SETTINGS_AGENT = 2,
-  SETTINGS_LEASED_ENTRY = 4, /* an entry of leased jobs */
+  SETTINGS_LEASED_ENTRY = 4, /* an entry of jobs that run under a lease */
   SETTINGS_LEASED_AGENT = 8, /* an agent that keeps a backend server's lease */
 } SettingsRole;
 
