--- a/tests/test-agent.c
+++ b/tests/test-agent.c
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-#define ENTRY 11
-#define HOLDER 12
+#define ENTRY_INCARNATION 11
+#define HOLDER_INCARNATION 12
 #define LEASE_MS 10000
 #define TIMEOUT_MS 20000
 
@@ -18,8 +18,8 @@
   Gw__Hello hello;
   Link *first;
   Link *second;
-  guint answers[2]; /* outcomes received over each link */
-  guint replies;    /* fence replies */
+  guint outcomes[2]; /* received over each link */
+  guint replies;     /* fence replies */
 } Scene;
 
 static void
@@ -32,7 +32,7 @@
 {
   Scene *scene = ctx;
 
-  scene->answers[link == scene->first ? 0 : 1] += frame->n_outcomes;
+  scene->outcomes[link == scene->first ? 0 : 1] += frame->n_outcomes;
   scene->replies += frame->n_fence_replies;
 }
 
@@ -53,11 +53,11 @@
 }
 
 static gboolean
-is_answered (gpointer ctx)
+has_outcome (gpointer ctx)
 {
   const Scene *scene = ctx;
 
-  return scene->answers[0] + scene->answers[1] > 0;
+  return scene->outcomes[0] + scene->outcomes[1] > 0;
 }
 
 static gboolean
@@ -84,7 +84,7 @@
 send_start (Link *link)
 {
   Gw__Start *start = g_new (Gw__Start, 1);
-  JobKey key = { HOLDER, 1 };
+  JobKey key = { HOLDER_INCARNATION, 1 };
 
   gw__start__init (start);
   start->job = message_job_id (&key);
@@ -106,7 +106,7 @@
 send_fence (Link *link)
 {
   Gw__Fence *fence = g_new (Gw__Fence, 1);
-  JobKey key = { ENTRY, 2 };
+  JobKey key = { ENTRY_INCARNATION, 2 };
 
   gw__fence__init (fence);
   fence->job = message_job_id (&key);
@@ -150,11 +150,11 @@
 }
 
 static gboolean
-is_answered_over_second (gpointer ctx)
+has_outcome_over_second (gpointer ctx)
 {
   const Scene *scene = ctx;
 
-  return scene->answers[1] > 0;
+  return scene->outcomes[1] > 0;
 }
 
 /* The link that carried the outcome closes before the acknowledgement. */
@@ -163,9 +163,9 @@
 {
   send_entries (scene->first);
   send_start (scene->first);
-  harness_wait (scene->harness, is_answered, scene, "the outcome");
+  harness_wait (scene->harness, has_outcome, scene, "the outcome");
   link_drop (&scene->first);
-  harness_wait (scene->harness, is_answered_over_second, scene, "the outcome again");
+  harness_wait (scene->harness, has_outcome_over_second, scene, "the outcome again");
 }
 
 typedef struct
@@ -184,9 +184,9 @@
 };
 
 /* An entry has two links to an agent, after crossed dials or while it reconciles a lost
- * home's jobs over a separate link. The agent must not send outcomes over the newer link:
- * the entry has dropped it or ignores outcomes there, so a slot stays busy forever and an
- * answer never arrives. */
+ * home's jobs over a separate link. The agent must send outcomes over the link on which
+ * the entry last sent its entries: it has dropped the other or ignores outcomes there, so
+ * a slot would stay busy forever and an answer never arrive. */
 static void
 test_two_links (gconstpointer data)
 {
@@ -197,7 +197,7 @@
 
   gw__hello__init (&scene.hello);
   scene.hello.name = (char *)"played";
-  scene.hello.incarnation = ENTRY;
+  scene.hello.incarnation = ENTRY_INCARNATION;
   scene.hello.frame_address = (char *)"127.0.0.1:9";
   scene.links.base = scene.harness->base;
   scene.links.ops = &link_ops;
@@ -209,9 +209,9 @@
   scene.second = link_dial (&scene.links, agent);
   harness_wait (scene.harness, both_up, &scene, "both links");
   c->run (&scene);
-  harness_wait (scene.harness, is_answered, &scene, "the outcome");
-  g_assert_cmpuint (scene.answers[0], ==, c->over_first);
-  g_assert_cmpuint (scene.answers[1], ==, c->over_second);
+  harness_wait (scene.harness, has_outcome, &scene, "the outcome");
+  g_assert_cmpuint (scene.outcomes[0], ==, c->over_first);
+  g_assert_cmpuint (scene.outcomes[1], ==, c->over_second);
   link_drop (&scene.first);
   link_drop (&scene.second);
   harness_free (scene.harness);
