--- a/tests/test-agent.c
+++ b/tests/test-agent.c
@@ -96,6 +96,7 @@
   start->n_tasks = 1;
   gw__task__init (start->tasks[0]);
   start->tasks[0]->attempt = ATTEMPT_MAKE (1, 1);
+  /* The backend server runs it for 300 ms. */
   start->tasks[0]->payload.data = (guint8 *)g_strdup ("300:hello");
   start->tasks[0]->payload.len = strlen ("300:hello");
   link_append (link, LINK_STARTS, &start->base);
