--- a/src/hedged_call.c
+++ b/src/hedged_call.c
@@ -24,8 +24,8 @@
   char **headers;
   char *body;
   guint wait_ms;
-  guint patience_ms;
-  guint silence_ms;
+  guint first_byte_timeout_ms;
+  guint read_timeout_ms;
   struct event *timer;
   TAILQ_HEAD (, Attempt) attempts;
   HedgeView view;
@@ -151,8 +151,8 @@
                     .headers = (const char *const *)call->headers,
                     .body = call->body,
                     .size = call->body != NULL ? strlen (call->body) : 0,
-                    .timeout_ms = wait_ms + call->patience_ms,
-                    .silence_ms = call->silence_ms,
+                    .timeout_ms = wait_ms + call->first_byte_timeout_ms,
+                    .read_timeout_ms = call->read_timeout_ms,
                     .fresh = fresh,
                     .heard = on_data,
                     .done = on_done,
@@ -198,8 +198,8 @@
   call->headers = g_strdupv ((char **)request->headers);
   call->body = g_strdup (request->body);
   call->wait_ms = request->wait_ms;
-  call->patience_ms = request->patience_ms;
-  call->silence_ms = request->silence_ms;
+  call->first_byte_timeout_ms = request->first_byte_timeout_ms;
+  call->read_timeout_ms = request->read_timeout_ms;
   call->timer = evtimer_new (base, on_due, call);
   call->last_data_ms = clock_now_ms ();
   TAILQ_INIT (&call->attempts);
--- a/src/hedged_call.h
+++ b/src/hedged_call.h
@@ -23,10 +23,10 @@
   const char *path;
   const char *hedge_path; /* for further attempts; NULL: @path */
   const char *const *headers;
-  const char *body;  /* or NULL */
-  guint wait_ms;     /* the server is asked by @path to wait this long */
-  guint patience_ms; /* timeout of each attempt to the first byte, beyond @wait_ms */
-  guint silence_ms;  /* timeout between two pieces of an answer */
+  const char *body;            /* or NULL */
+  guint wait_ms;               /* the server is asked by @path to wait this long */
+  guint first_byte_timeout_ms; /* of each attempt, beyond @wait_ms */
+  guint read_timeout_ms;       /* between two pieces of an answer */
 } HedgedRequest;
 
 /** hedged_call_new - start a call; @pool should have connections for all attempts of
--- a/src/http.c
+++ b/src/http.c
@@ -32,7 +32,7 @@
   HttpDone done;
   gpointer ctx;
   struct event *timer;
-  guint silence_ms;
+  guint read_timeout_ms;
   gsize received;
   gint64 called_ms;
   gint64 begun_ms; /* time of the response's first byte; 0: none yet */
@@ -134,9 +134,9 @@
   job->received_ms = clock_now_ms ();
   if (job->begun_ms == 0)
     job->begun_ms = job->received_ms;
-  if (job->silence_ms > 0)
+  if (job->read_timeout_ms > 0)
     {
-      silence = timeval_from_ms (job->silence_ms);
+      silence = timeval_from_ms (job->read_timeout_ms);
       event_add (job->timer, &silence);
     }
   if (job->heard != NULL)
@@ -461,7 +461,7 @@
   job->path = g_strdup (call->path);
   job->headers = g_strdupv ((char **)call->headers);
   job->body = g_bytes_new (call->body, call->size);
-  job->silence_ms = call->silence_ms;
+  job->read_timeout_ms = call->read_timeout_ms;
   job->fresh = call->fresh;
   job->heard = call->heard;
   job->done = call->done;
--- a/src/http.h
+++ b/src/http.h
@@ -37,10 +37,11 @@
   const char *const *headers; /* name, value, ..., NULL; or NULL */
   const void *body;
   gsize size;
-  guint timeout_ms; /* from call to complete response; with @silence_ms, to first byte */
-  guint silence_ms; /* timeout between two pieces of the response, 0: none; does not abort
-                     * a large one over a slow link while it arrives */
-  gboolean fresh;   /* not on a reused connection, which may be dead */
+  /* From call to complete response; with @read_timeout_ms, to first byte. */
+  guint timeout_ms;
+  guint read_timeout_ms; /* between two pieces of the response, 0: none; does not abort
+                          * a large one over a slow link while it arrives */
+  gboolean fresh;        /* not on a reused connection, which may be dead */
   void (*heard) (gpointer ctx); /* NULL, or called for each piece of the response */
   HttpDone done; /* called once, never before http_pool_call () has returned */
   gpointer ctx;
--- a/src/table_calls.c
+++ b/src/table_calls.c
@@ -123,8 +123,8 @@
                             .path = call->path,
                             .headers = call->body != NULL ? json_headers : NULL,
                             .body = call->body,
-                            .patience_ms = calls->limit_ms,
-                            .silence_ms = SILENCE_MS };
+                            .first_byte_timeout_ms = calls->limit_ms,
+                            .read_timeout_ms = SILENCE_MS };
 
   TAILQ_REMOVE (&calls->queued, call, link);
   TAILQ_INSERT_TAIL (&calls->active, call, link);
