--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -31,7 +31,7 @@
     echo "$1: NOT NOTICED by $6"
     failures=$((failures + 1))
   else
-    echo "$1: noticed by ${6:-$5}: $(grep -hE 'ERROR|Falsifiable|in vain' "$work/out" | head -n 1 | cut -c1-150)"
+    echo "$1: noticed by ${6:-$5}: $(grep -hE 'ERROR|Falsifiable|timed out waiting' "$work/out" | head -n 1 | cut -c1-150)"
   fi
   cp "$work/kept" "$work/$2"
 }
