--- a/tests/test-dispatcher.c
+++ b/tests/test-dispatcher.c
@@ -337,8 +337,8 @@
   g_assert_cmpuint (scene->n_orders, ==, 1);
 }
 
-/* The same after a cancellation: no run of the new job may start until the last run of
- * the cancelled one has stopped. */
+/* As resubmission_joins, after a cancellation: no run of the new job may start until the
+ * last run of the cancelled one has stopped. */
 static void
 resubmission_waits_for_stops (Scene *scene)
 {
@@ -481,7 +481,7 @@
   g_assert_cmpuint (scene->n_orders, ==, 2);
 }
 
-/* The same if the only server was slow in its last report. */
+/* As only_server_is_used_again, if the only server was slow in its last report. */
 static void
 slow_server_is_better_than_none (Scene *scene)
 {
@@ -544,7 +544,8 @@
   g_assert_cmpuint (dispatcher_waiting (scene->dispatcher), ==, 2);
 }
 
-/* While no agent can be reached, the wait is not known and may be short. */
+/* While no agent can be reached, the wait is not known and may be short, so no job is
+ * refused. */
 static void
 unreachable_servers_refuse_nobody (Scene *scene)
 {
@@ -558,9 +559,9 @@
   g_assert_cmpuint (scene->results, ==, 0);
 }
 
-/* If the tick comes late in which a job becomes infeasible behind runs that take far
- * longer than expected, both refusals are due. The one without figures went first, so the
- * reason varied and the figures behind it were at times not logged. */
+/* A job becomes infeasible behind runs that take far longer than expected; in a late tick
+ * load shedding would refuse it too. The refusal that logs no figures was applied first,
+ * so the reason varied and the figures behind it were not always logged. */
 static void
 late_tick_tells_what_decided (Scene *scene)
 {
@@ -606,12 +607,13 @@
   submit (scene, "a", 1);
   submit (scene, "b", 1);
   advance (scene, DISPATCHER_TICK_MS);
-  g_assert_cmpuint (scene->results, ==, 1); /* of the earlier one */
+  g_assert_cmpuint (scene->results, ==, 1); /* of the job "earlier" */
 }
 
 /* After a restart of all entries, a fifth of the callers were refused for two seconds. At
  * the last entry to be back, the burst of jobs that had gathered was taken for a lasting
- * rate, and what the others had already placed for their share of the servers. */
+ * rate, and what the others had already placed was taken for their share of the servers.
+ */
 static void
 restarted_entry_waits_for_figures (Scene *scene)
 {
--- a/tests/test-offers.c
+++ b/tests/test-offers.c
@@ -1,4 +1,5 @@
-/* Which entry an agent offers free capacity to, also under load from near and far. */
+/* Which entry an agent offers free capacity to, also with entries near and far under
+ * load. */
 #include "cases.h"
 #include "offers.h"
 
@@ -18,7 +19,7 @@
 }
 
 static void
-frees (Offers *offers, guint tasks, gint64 now_ms)
+free_capacity (Offers *offers, guint tasks, gint64 now_ms)
 {
   set_room (offers, tasks);
   offers_capacity_freed (offers, now_ms);
@@ -34,7 +35,7 @@
 }
 
 static void
-wants (Offers *offers, guint64 entry, guint tasks, double rank, gint64 now_ms)
+request_capacity (Offers *offers, guint64 entry, guint tasks, double rank, gint64 now_ms)
 {
   ResourceRequest request = { tasks, tasks, rank, need, VALID_MS };
 
@@ -42,7 +43,7 @@
 }
 
 static void
-uses (Offers *offers, guint64 entry, guint tasks_left, double rank, gint64 now_ms)
+use_capacity (Offers *offers, guint64 entry, guint tasks_left, double rank, gint64 now_ms)
 {
   ResourceRequest request = { tasks_left, tasks_left, rank, need, VALID_MS };
 
@@ -50,11 +51,11 @@
 }
 
 static void
-test_all_while_none_wants (void)
+test_free_to_all_without_requests (void)
 {
   Offers *offers = offers_new ();
 
-  frees (offers, 1, 100);
+  free_capacity (offers, 1, 100);
   g_assert_true (may_use (offers, NEAR));
   g_assert_true (may_use (offers, FAR));
   offers_free (offers);
@@ -65,15 +66,15 @@
 {
   Offers *offers = offers_new ();
 
-  wants (offers, NEAR, 1, 1, 100);
-  wants (offers, FAR, 2, 1, 101);
-  frees (offers, 1, 102);
+  request_capacity (offers, NEAR, 1, 1, 100);
+  request_capacity (offers, FAR, 2, 1, 101);
+  free_capacity (offers, 1, 102);
   g_assert_false (may_use (offers, NEAR));
   g_assert_true (may_use (offers, FAR));
-  uses (offers, FAR, 1, 1, 104);
+  use_capacity (offers, FAR, 1, 1, 104);
   g_assert_true (may_use (offers, FAR) != may_use (offers, NEAR));
-  uses (offers, FAR, 0, 1, 105);
-  uses (offers, NEAR, 0, 1, 106);
+  use_capacity (offers, FAR, 0, 1, 105);
+  use_capacity (offers, NEAR, 0, 1, 106);
   g_assert_false (offers_open (offers));
   offers_free (offers);
 }
@@ -85,9 +86,9 @@
 {
   Offers *offers = offers_new ();
 
-  wants (offers, NEAR, 50, 4.0, 100);
-  wants (offers, FAR, 2, 0.7, 101);
-  frees (offers, 1, 102);
+  request_capacity (offers, NEAR, 50, 4.0, 100);
+  request_capacity (offers, FAR, 2, 0.7, 101);
+  free_capacity (offers, 1, 102);
   g_assert_true (may_use (offers, FAR));
   g_assert_false (may_use (offers, NEAR));
   offers_free (offers);
@@ -99,9 +100,9 @@
 {
   Offers *offers = offers_new ();
 
-  wants (offers, NEAR, 3, 1, 100);
-  wants (offers, FAR, 9, 1, 100);
-  frees (offers, 1, 102);
+  request_capacity (offers, NEAR, 3, 1, 100);
+  request_capacity (offers, FAR, 9, 1, 100);
+  free_capacity (offers, 1, 102);
   offers_tick (offers, 102 + OFFER_MS - 1);
   g_assert_true (may_use (offers, FAR));
   offers_tick (offers, 102 + OFFER_MS);
@@ -117,8 +118,8 @@
 {
   Offers *offers = offers_new ();
 
-  wants (offers, FAR, 3, 1, 100);
-  frees (offers, 1, 1000);
+  request_capacity (offers, FAR, 3, 1, 100);
+  free_capacity (offers, 1, 1000);
   g_assert_true (may_use (offers, NEAR));
   offers_free (offers);
 }
@@ -139,13 +140,13 @@
 
       queues[NEAR] += now % 40 == 0;
       queues[FAR] += now % 40 != 0;
-      wants (offers, NEAR, queues[NEAR], 1, now - 8);
-      wants (offers, FAR, queues[FAR], 1, now - 8);
-      frees (offers, 1, now);
+      request_capacity (offers, NEAR, queues[NEAR], 1, now - 8);
+      request_capacity (offers, FAR, queues[FAR], 1, now - 8);
+      free_capacity (offers, 1, now);
       winner = may_use (offers, NEAR) ? NEAR : FAR;
       queues[winner]--;
       set_room (offers, 0);
-      uses (offers, winner, queues[winner], 1, now + 3);
+      use_capacity (offers, winner, queues[winner], 1, now + 3);
       offers_tick (offers, now + 3 + OFFER_MS);
     }
   g_assert_cmpuint (queues[NEAR], >=, 15);
@@ -153,7 +154,7 @@
   offers_free (offers);
 }
 
-/* With twelve entries under load, 0.02 of the capacity was unused while jobs waited: all
+/* With twelve entries under load, 2% of the capacity was unused while jobs waited: all
  * free capacity was reserved for one entry at a time. Here it fits three tasks, and the
  * first entry needs one; all others saw a full server until it had ordered. */
 static void
@@ -162,9 +163,9 @@
   Offers *offers = offers_new ();
   Demand room;
 
-  wants (offers, NEAR, 1, 0.5, 100);
-  wants (offers, FAR, 1, 0.7, 100);
-  frees (offers, 3, 101);
+  request_capacity (offers, NEAR, 1, 0.5, 100);
+  request_capacity (offers, FAR, 1, 0.7, 100);
+  free_capacity (offers, 3, 101);
   g_assert_true (offers_is_reserved_for (offers, NEAR));
   g_assert_true (offers_is_reserved_for (offers, FAR));
   room = offers_available_to (offers, NEAR);
@@ -179,15 +180,15 @@
 /* Capacity stayed unused until an offer expired: an entry requests it from two servers
  * for each task, and did not decline the offer that it no longer needed. */
 static void
-test_declined_offer_is_handed_on (void)
+test_declined_offer_goes_to_next (void)
 {
   Offers *offers = offers_new ();
 
-  wants (offers, NEAR, 1, 0.5, 100);
-  wants (offers, FAR, 1, 0.7, 100);
-  frees (offers, 1, 101);
+  request_capacity (offers, NEAR, 1, 0.5, 100);
+  request_capacity (offers, FAR, 1, 0.7, 100);
+  free_capacity (offers, 1, 101);
   g_assert_false (may_use (offers, FAR));
-  wants (offers, NEAR, 0, 0, 102);
+  request_capacity (offers, NEAR, 0, 0, 102);
   g_assert_true (offers_is_reserved_for (offers, FAR));
   g_assert_false (may_use (offers, NEAR));
   offers_free (offers);
@@ -195,12 +196,12 @@
 
 /* An entry that requests free capacity does not know of it yet: it gets an offer. */
 static void
-test_room_is_offered_to_who_asks (void)
+test_request_gets_free_capacity (void)
 {
   Offers *offers = offers_new ();
 
   set_room (offers, 1);
-  wants (offers, FAR, 1, 0.7, 100);
+  request_capacity (offers, FAR, 1, 0.7, 100);
   g_assert_true (offers_is_reserved_for (offers, FAR));
   offers_free (offers);
 }
@@ -209,14 +210,14 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/offers/all-while-none-wants", test_all_while_none_wants);
+  g_test_add_func ("/offers/all-while-none-wants", test_free_to_all_without_requests);
   g_test_add_func ("/offers/longest-queue-first", test_longest_queue_first);
   g_test_add_func ("/offers/best-rank-first", test_best_rank_first);
   g_test_add_func ("/offers/untaken-offer-lapses", test_untaken_offer_expires);
   g_test_add_func ("/offers/old-wishes-are-forgotten", test_old_requests_expire);
   g_test_add_func ("/offers/overload-is-shared", test_overload_is_shared);
   g_test_add_func ("/offers/rest-goes-to-next", test_rest_goes_to_next);
-  g_test_add_func ("/offers/declined-is-handed-on", test_declined_offer_is_handed_on);
-  g_test_add_func ("/offers/told-to-who-asks", test_room_is_offered_to_who_asks);
+  g_test_add_func ("/offers/declined-is-handed-on", test_declined_offer_goes_to_next);
+  g_test_add_func ("/offers/told-to-who-asks", test_request_gets_free_capacity);
   return g_test_run ();
 }
--- a/tests/test-pace.c
+++ b/tests/test-pace.c
@@ -7,15 +7,16 @@
 #define SENT_AT_MS 5000
 #define RECEIVED_AT_MS 900000
 
-/* Frames sent 100 ms apart, and the time that each is under way. */
+/* Frames sent 100 ms apart, and the transit time of each. */
 typedef struct
 {
   const char *name;
-  guint way_ms[FRAMES];
+  guint transit_ms[FRAMES];
   guint delay_ms; /* of the last */
 } DelayCase;
 
-/* The clocks differ by any amount, so only the delay over the shortest way is known. */
+/* The clocks differ by any amount, so only the delay beyond the shortest transit time is
+ * known. */
 static const DelayCase delay_cases[] = {
   { "even", { 2, 2, 2, 2, 2, 2, 2, 2 }, 0 },
   { "slow-but-even", { 80, 80, 80, 80, 80, 80, 80, 80 }, 0 },
@@ -32,7 +33,7 @@
 
   for (guint i = 0; i < FRAMES; i++)
     frame_delay_observe (&delay, SENT_AT_MS + (gint64)100 * i,
-                         RECEIVED_AT_MS + (gint64)100 * i + c->way_ms[i]);
+                         RECEIVED_AT_MS + (gint64)100 * i + c->transit_ms[i]);
   g_assert_cmpuint (delay.delay_ms, ==, c->delay_ms);
 }
 
