--- a/src/closed_zones.c
+++ b/src/closed_zones.c
@@ -152,7 +152,7 @@
 {
   gboolean changed = FALSE;
 
-  /* Changes are of no use before the whole set is known. */
+  /* Changes cannot be applied before the whole set is known. */
   if (version <= set->version || (!whole && set->revision == 0))
     return FALSE;
   /* From now on a zone that is not listed is known to be open. */
--- a/src/closed_zones.h
+++ b/src/closed_zones.h
@@ -3,11 +3,12 @@
  *
  * One set with a version and an age. Entries follow the platform's table; every process
  * sends the set to its peers, and the newest version counts whatever its source. An agent
- * reads the table itself only while no entry can report it: the agent refuses starts in a
- * closed zone, whatever the ordering entries know.
+ * refuses starts in a closed zone, whatever the ordering entries know; it reads the table
+ * itself only while no entry can report it.
  *
  * Load pattern: a zone is closed while hundreds of processes run; each reads the table or
- * is sent the set, nobody polls, and frames are sent for changes only. */
+ * is sent the set, nobody polls, and the set is sent only when it changed or its age is
+ * confirmed. */
 #include "godwitspar.pb-c.h"
 
 #include <glib.h>
--- a/src/dispatcher_order.c
+++ b/src/dispatcher_order.c
@@ -1,15 +1,15 @@
 #define LOG_MODULE "dispatcher"
 /* The order in which jobs are placed, and refusal of those that would be placed too late.
  *
- * Made for overload: more work arrives than the servers can do, as wide urgent jobs, long
- * jobs and many narrow ones, at several entries at once. */
+ * Designed for overload: more work arrives than the servers can do, in wide urgent jobs,
+ * long jobs and many narrow ones, at several entries at once. */
 #include "admission.h"
 #include "dispatcher_parts.h"
 #include "events.h"
 
 #include <math.h>
 
-/* Lower priorities (greater numbers) count as this one. */
+/* Each step of priority halves a job's benefit. Greater numbers count as this one. */
 #define PRIORITY_STEPS 8
 /* Part of a job's benefit to users that is left once it misses its objective. */
 #define LATE_PART 0.2
@@ -18,7 +18,7 @@
 #define RETRY_AFTER_MAX_MS 60000
 /* While no server is usable. */
 #define RETRY_AFTER_UNKNOWN_MS 1000
-/* The most when load is shed: the arrival rate is known for the last second only, and
+/* Upper limit when load is shed: the arrival rate is known for the last second only, and
  * bursts pass. */
 #define RETRY_AFTER_SHED_MS 2000
 
@@ -134,7 +134,7 @@
   return capacity;
 }
 
-/* Spreads the work over all servers. */
+/* Assumes that the work is spread evenly over all usable servers. */
 guint
 dispatcher_wait_ms (const Dispatcher *dispatcher)
 {
@@ -151,7 +151,8 @@
 
 /* Agents offer capacity by rank, whichever entry requests it. Over about a second an
  * entry's share of the servers is therefore its callers' share of all work. What it has
- * placed at one moment would not do: with little placed, all servers would seem slow. */
+ * placed at one moment would not do: with little placed, its servers would seem to do
+ * little work per ms. */
 #define SHARE_DECAY_MS 1000.0
 /* Part of the capacity that this entry is assumed to use after a start, and the others
  * none; observed use outweighs it after about 0.2 s. */
@@ -200,8 +201,8 @@
   return capacity_of_servers (dispatcher) * MAX (share, SHARE_MIN);
 }
 
-/* After a start servers are linked one by one: for this long after each, a server in an
- * open zone may follow. */
+/* No job is refused for closed zones until this long after a server was linked: after a
+ * start servers are linked one by one, and one in an open zone may follow. */
 #define LINKING_MS 500
 /* When the zone opens again is up to the operator and not known here. */
 #define RETRY_AFTER_CLOSED_MS 2000
--- a/src/dispatcher_parts.h
+++ b/src/dispatcher_parts.h
@@ -23,7 +23,7 @@
   guint index;
   guint run; /* number of its last run, from 1 */
   guint failures;
-  guint servers_ended; /* while they ran it */
+  guint servers_ended; /* servers that ended while they ran it */
   Demand reserved;     /* on its server, while placed */
   LeasedServer *avoid; /* where it last failed or straggled */
   gint64 waiting_since_ms;
@@ -75,7 +75,7 @@
   guint n_placed;
   TAILQ_HEAD (, LeasedTask) tasks;
   gboolean inventoried; /* its inventory has arrived over this link */
-  gboolean closed;      /* its availability zone is */
+  gboolean closed;      /* its availability zone is closed */
 };
 
 /* A job that completed less than RECENT_JOB_MS ago: its caller may not have received the
@@ -102,19 +102,19 @@
   guint n_jobs;
   guint n_waiting;    /* tasks */
   gboolean trust_all; /* too many servers are distrusted: the fault is in the tasks */
-  gboolean link_congested;      /* the entry's own link is */
+  gboolean link_congested;      /* the entry's own link */
   guint n_open;                 /* servers that take orders */
   double wait_ms;               /* estimated wait of a task for free capacity */
   GPtrArray *ordered;           /* waiting jobs by rank, during dispatcher_pump () */
-  GPtrArray *candidate_servers; /* that may take one of their tasks */
+  GPtrArray *candidate_servers; /* that may take a task of these jobs */
   Arrivals arrivals;
   double used_here; /* thousandths of a core of own runs, decaying by SHARE_DECAY_MS */
   double used_by_all;
-  gint64 share_ms;  /* when these were last updated */
-  guint n_closed;   /* linked servers in closed availability zones */
-  gint64 linked_ms; /* when a server was last linked */
-  gboolean arrived; /* a job, since dispatcher_shed_load () */
-  double median_slowness;
+  gint64 share_ms;        /* when these were last updated */
+  guint n_closed;         /* linked servers in closed availability zones */
+  gint64 linked_ms;       /* when a server was last linked */
+  gboolean arrived;       /* a job has, since dispatcher_shed_load () */
+  double median_slowness; /* of the servers that take orders, at least 1 */
   gint64 now_ms;
 };
 
@@ -136,7 +136,7 @@
 /** dispatcher_order - the waiting jobs, lowest rank first. Return: to be freed. */
 GPtrArray *dispatcher_order (Dispatcher *dispatcher);
 
-/** dispatcher_wait_ms - estimated time in ms to finish all work that is here. */
+/** dispatcher_wait_ms - estimated time in ms to finish all jobs here. */
 guint dispatcher_wait_ms (const Dispatcher *dispatcher);
 
 /** dispatcher_refuse_infeasible - end jobs that would be useless even if started now. */
@@ -180,7 +180,9 @@
 /** server_note_resource_request - record that @request is sent to its agent. */
 void server_note_resource_request (LeasedServer *server, const ResourceRequest *request);
 
-/** server_is_offered_for_better - it is reserved for a job of lower rank than @rank. */
+/** server_is_offered_for_better - it is reserved for a job of clearly lower rank than
+ * @rank.
+ */
 gboolean server_is_offered_for_better (const LeasedServer *server, double rank);
 
 /** dispatcher_send_resource_requests - request capacity for @jobs, lowest rank first. */
--- a/src/dispatcher_place.c
+++ b/src/dispatcher_place.c
@@ -138,6 +138,8 @@
          || tasks_of_job (server, job) < job->spec.most_per_server;
 }
 
+/* In expected run times: slowness, plus 0.5 away from the job's data, the share of failed
+ * runs, and up to 0.01 for load, to break ties. */
 static double
 cost_of (const LeasedServer *server, const LeasedJob *job)
 {
--- a/src/dispatcher_requests.c
+++ b/src/dispatcher_requests.c
@@ -1,9 +1,9 @@
 #define LOG_MODULE "dispatcher"
 /* Resource requests to agents.
  *
- * Made for load at which jobs wait at several entries at once: capacity that frees is
+ * Designed for load at which jobs wait at several entries at once: capacity that frees is
  * offered to the waiting job of lowest rank at any entry (offers.h). An entry therefore
- * tells some servers what waits here, and declines an offer that it cannot use. Each
+ * tells some agents what waits here, and declines an offer that it cannot use. Each
  * request is a frame: their number is bounded by the waiting tasks and by a rate, not by
  * the number of servers. */
 #include "dispatcher_parts.h"
@@ -17,7 +17,7 @@
 #define REQUEST_SPACING_MS 3
 #define REQUEST_BETTER_FACTOR 0.7
 /* An offer is not used for a job whose rank is more than this many times the requested
- * rank. Differences between 1 / REQUEST_BETTER_FACTOR and this do not justify a
+ * rank. About 1 / REQUEST_BETTER_FACTOR: a smaller difference does not justify a
  * round trip. */
 #define OFFER_WORSE_FACTOR 1.4
 /* Servers asked for each waiting task; the first with free capacity serves it. */
@@ -38,7 +38,7 @@
   return MAX (REQUEST_REPEAT_MS, dispatcher->n_open * REQUEST_SPACING_MS);
 }
 
-/* A third longer, so that a request does not expire before it is repeated. */
+/* A third longer than the interval, so that a request is repeated before it expires. */
 static guint
 request_valid_ms (const Dispatcher *dispatcher)
 {
--- a/src/dispatcher_servers.c
+++ b/src/dispatcher_servers.c
@@ -13,10 +13,11 @@
 /* After an entry's lease expires, ending a run takes the agent's tick, its call and the
  * server's own time. */
 #define STOP_SLACK_MS 150
-/* An agent's inventory lists the runs that ended in the last 3 s; less the time that a
- * link takes to reconnect. */
+/* An agent's inventory lists the runs that ended in the last 3 s (runner.c). This is 1 s
+ * less, for the link to reconnect. */
 #define AGENT_HISTORY_MS 2000
-/* By then the state of a server that refused a start has arrived. */
+/* Nothing is placed on a server for this long after it refused a start; by then its
+ * current state has arrived. */
 #define REFUSED_BACKOFF_MS 30
 
 void
--- a/src/frame_delay.h
+++ b/src/frame_delay.h
@@ -1,6 +1,6 @@
 #pragma once
-/* Delay of a peer's frames over the least of the last seconds: the sum of what its
- * process, its link and the own link add.
+/* Delay of a peer's frames beyond the least delay of the last seconds: the sum of what
+ * its process, its link and the own link add.
  *
  * Load pattern: one entry has twice the callers of another on a narrow link. Orders and
  * resource requests queue there for hundreds of ms, are outdated on arrival, and are
--- a/src/long_polls.c
+++ b/src/long_polls.c
@@ -3,7 +3,8 @@
 /* A poll is answered along with any other call that reports the same end; on one VM the
  * replies are no more than an event-loop iteration apart. */
 #define OVERDUE_MS 10
-/* Replies get lost for seconds at a time, one in a few. */
+/* How long the link counts as lossy after a loss: replies get lost for seconds at a time,
+ * one in a few. */
 #define LOSSY_MS 2000
 /* Each reply costs CPU time, so a server that answers may hold a poll long. */
 #define WAIT_MS 1000
--- a/src/long_polls.h
+++ b/src/long_polls.h
@@ -1,7 +1,7 @@
 #pragma once
 /* Long polls: calls held open at the backend server until a run ends there. Usually one
- * is in flight. While replies get lost there are two with a short wait: whichever is
- * answered shows that the other was lost. No I/O of its own. */
+ * is in flight. While replies get lost there are two with a short wait: if only one
+ * reports an end, the other was lost. No I/O of its own. */
 #include <glib.h>
 
 #define LONG_POLLS_MAX 2
--- a/src/offers.c
+++ b/src/offers.c
@@ -126,7 +126,7 @@
   return best;
 }
 
-/* As much of @rest as the first job there can use. */
+/* As much of @rest as the first job of the request can use. */
 static Demand
 reservation_for (const ResourceRequest *request, const Demand *rest)
 {
--- a/src/offers.h
+++ b/src/offers.h
@@ -13,7 +13,9 @@
 Offers *offers_new (void);
 void offers_free (Offers *offers);
 
-/** offers_request - @entry found no free capacity for @request, which may be empty. */
+/** offers_request - @entry found no free capacity for @request. Replaces its earlier
+ * request and withdraws its offer; an empty @request does only this.
+ */
 void offers_request (Offers *offers,
                      guint64 entry,
                      const ResourceRequest *request,
@@ -43,5 +45,6 @@
 /** offers_available_to - the free capacity that @entry may use. */
 Demand offers_available_to (const Offers *offers, guint64 entry);
 
-/* An offer is taken within a network round trip and an event-loop iteration per end. */
+/* Validity of an offer. It is taken within a network round trip and an event-loop
+ * iteration per end. */
 #define OFFER_MS 6
--- a/src/placement.c
+++ b/src/placement.c
@@ -2,6 +2,7 @@
 
 /* Run times vary anyway; a server counts as slow only above this ratio. */
 #define SLOW_RATIO 1.6
+/* Added to the score, which is 1 to 2 for a free server that is not slow. */
 #define ZONE_BONUS 0.05
 #define SLOW_WEIGHT 0.5
 
--- a/src/placement.h
+++ b/src/placement.h
@@ -1,5 +1,5 @@
 #pragma once
-/* Chooses the backend server for one task; a pure function of what is known of all. */
+/* Chooses the backend server for one task; a pure function of the candidates. */
 #include <glib.h>
 
 typedef struct
@@ -14,7 +14,8 @@
 #define PLACEMENT_NONE (-1)
 
 /**
- * placement_choose - the candidate expected to end the task soonest.
+ * placement_choose - the best candidate: one with a large share of free slots, not slow,
+ * preferably in the same zone.
  * @task_ms: expected run time of the task on a typical server.
  * @waiting: tasks that already wait for a slot.
  *
--- a/src/server_health.c
+++ b/src/server_health.c
@@ -2,8 +2,8 @@
 
 #include <math.h>
 
-/* Two failures in a row among successes exceed the tasks' own failure rate (a few in a
- * thousand). */
+/* Weight of a run in the average. Two failures in a row exceed FAILING_LIMIT: tasks fail
+ * by their own fault only a few times in a thousand. */
 #define FAILING_RATE 0.25
 #define FAILING_LIMIT 0.4
 #define FAILING_GOOD 0.25
@@ -60,7 +60,8 @@
 {
   double bounded = CLAMP (ratio, 1 / SLOWNESS_MOST, SLOWNESS_MOST);
 
-  /* Mean of the logarithms: one run of ten times the length is not a slow server. */
+  /* Mean of the logarithms: one run of ten times the length does not make a server
+   * slow. */
   health->slowness = exp (log (health->slowness)
                           + SLOWNESS_RATE * (log (bounded) - log (health->slowness)));
 }
--- a/src/server_health.h
+++ b/src/server_health.h
@@ -15,7 +15,7 @@
 typedef struct
 {
   Trust trust;
-  double slowness;   /* mean of run times over expected ones */
+  double slowness;   /* moving geometric mean of run times over expected ones */
   double failing;    /* share of failures among recent ends */
   guint stalls;      /* runs without progress now */
   guint ejections;   /* in a row, for the backoff */
@@ -32,7 +32,8 @@
  * failure. */
 void server_health_start_lost (ServerHealth *health, gint64 now_ms);
 
-/** server_health_run_slow - a run takes @ratio times as long as expected. */
+/** server_health_run_slow - count a run that takes @ratio times as long as expected; also
+ * if that is not slow. */
 void server_health_run_slow (ServerHealth *health, double ratio);
 
 /** server_health_progress - of the runs checked, @stalled make no progress and @moving
