--- a/src/admission.c
+++ b/src/admission.c
@@ -6,8 +6,8 @@
 #define MAX_STRETCH 30.0
 
 /* Work ahead of the job gets this entry's share of the servers, less what arrives ahead
- * of the job meanwhile. Once its own tasks run, the job is first in the order everywhere
- * and gets capacity wherever it frees. */
+ * of the job meanwhile. Once its own tasks start, its rank falls: it is first in the
+ * order at all entries and gets capacity wherever it frees. */
 static double
 expected_wait_ms (const AdmissionLoad *load, const AdmissionJob *job, double rank)
 {
--- a/src/dispatcher.h
+++ b/src/dispatcher.h
@@ -25,7 +25,7 @@
   guint max_attempts;
   guint count;           /* tasks */
   guint declared_ms;     /* run time of one task */
-  guint most_per_server; /* 0: no limit */
+  guint most_per_server; /* tasks on one server; 0: no limit */
   guint target_ms;       /* latency objective: this + stretch * run time */
   double stretch;
   Demand demand;      /* of one task */
@@ -118,7 +118,7 @@
 /** dispatcher_server_clock - the agent's clock showed @peer_ms when it sent. */
 void dispatcher_server_clock (LeasedServer *server, gint64 peer_ms, gint64 now_ms);
 
-/** dispatcher_server_delay - frames sent to the agent arrive @delay_ms late. */
+/** dispatcher_server_delay - frames sent to the agent are delayed by @delay_ms. */
 void dispatcher_server_delay (LeasedServer *server, guint delay_ms, gint64 now_ms);
 
 /** dispatcher_server_lease_extended - the agent may let runs go on until @until_ms, by
--- a/tests/test-dispatcher.c
+++ b/tests/test-dispatcher.c
@@ -14,7 +14,7 @@
 {
   guint server;
   RunKey key;
-  guint cpu;
+  guint cpu; /* thousandths of a core */
   guint expected_ms;
   gboolean open; /* no end reported yet */
   gboolean stopped;
@@ -24,7 +24,7 @@
 {
   Dispatcher *dispatcher;
   LeasedServer *servers[SERVERS];
-  guint capacity;
+  guint capacity; /* of each server, thousandths of a core */
   Order *orders;
   guint n_orders;
   guint n_requests;
