--- a/src/agent_peers.c
+++ b/src/agent_peers.c
@@ -6,7 +6,7 @@
 
 /* Up to this many entries, the usual size of a deployment, an agent links to all. */
 #define LINK_ALL_ENTRIES 4
-/* With more entries: the home and the next in rank. */
+/* With more entries: to the home and the next in rendezvous rank. */
 #define LINKS_WANTED 2
 #define REDIAL_MS 300
 /* An entry that is neither linked nor named for this long is forgotten; linked entries
@@ -197,7 +197,7 @@
   return TAILQ_FIRST (&peers->list);
 }
 
-/* Whether a link to the entry is up or being dialed. */
+/* Whether a link to the entry is up or being dialled. */
 static gboolean
 is_linked (AgentPeers *peers, const KnownEntry *known)
 {
--- a/src/leased_agent.c
+++ b/src/leased_agent.c
@@ -64,7 +64,7 @@
     link_append (peer->link, LINK_RUN_REPORTS, &message_report (report)->base);
 }
 
-/* The state is piggybacked on every frame; an urgent change is sent at once. */
+/* A changed state is piggybacked on the next frame; an urgent change is sent at once. */
 static void
 on_runner_changed (gpointer ctx)
 {
--- a/src/leased_agent_state.c
+++ b/src/leased_agent_state.c
@@ -31,7 +31,7 @@
   Throttle throttle;
 } SentState;
 
-/* Rounded to steps of @step percent: each change is sent to all entries. */
+/* Rounds to steps of @step percent, since each change is sent to all entries. */
 static guint
 percent_in_steps (double share, guint step)
 {
@@ -58,6 +58,7 @@
   State state;
 
   memset (&state, 0, sizeof state);
+  /* A surplus link is closed once its entry has no run here: it must order no more. */
   state.ready = runner_ready (agent->runner) && peer->surplus_ms == 0;
   state.draining = runner_draining (agent->runner);
   state.closed = runner_zone_is_closed (agent->runner);
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -9,8 +9,9 @@
 
 #define TICK_MS DISPATCHER_TICK_MS
 #define PROTOCOL_VERSION 1
-/* Entries hold no leases from each other and send changes at once, so heartbeats among
- * entries, one for each other entry, may be this much slower than those to agents. */
+/* Heartbeat interval and timeout between entries, in multiples of those to agents. Each
+ * entry sends heartbeats to all others, but they need no leases from each other and send
+ * changes at once. */
 #define ENTRY_HEARTBEAT_FACTOR 4
 /* Time for the final frames to be sent before the process exits. */
 #define FINAL_FLUSH_MS 100
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -5,6 +5,8 @@
 
 #include <string.h>
 
+/* After this long without a linked entry, addresses are looked up in the directory, and
+ * again at this interval. */
 #define ISOLATED_MS 700
 /* Well below ADDRESS_FORGET_MS, after which an address that nobody names is dropped. */
 #define ANNOUNCE_ALL_MS 8000
@@ -155,7 +157,7 @@
     }
 }
 
-/* When two processes dial each other at once, both keep the link dialed by the one whose
+/* When two processes dial each other at once, both keep the link dialled by the one whose
  * name sorts first. */
 static gboolean
 is_preferred (const Mesh *mesh, const MeshPeer *peer, gboolean dialed_here)
@@ -246,6 +248,7 @@
       address->dialing = NULL;
       mesh_address_failed (mesh, address->text, clock_now_ms ());
       mesh_dial_again (mesh);
+      /* A refused connection proves that the process at that address is dead. */
       for (MeshPeer *dead = TAILQ_FIRST (&mesh->peers);
            dead != NULL && end == LINK_REFUSED; dead = TAILQ_NEXT (dead, link_entry))
         if (dead->link == NULL && dead->dead_ms == 0
--- a/src/mesh_dial.c
+++ b/src/mesh_dial.c
@@ -10,19 +10,19 @@
 #define DIAL_MAX_MS 250
 /* An address that was linked or learned less than EAGER_FOR_MS ago is dialled this often:
  * its process is probably restarting, and callers wait until it is linked. This costs 20
- * packets a second and address. */
+ * packets per second and address. */
 #define DIAL_EAGER_MS 50
 #define EAGER_FOR_MS 3000
-/* TCP repeats a lost SYN only after a second, so a new attempt finds a machine that comes
- * up sooner. A round trip within a region takes a few milliseconds; the longer timeout is
- * for congested links. */
+/* TCP repeats a lost SYN only after a second; an attempt that times out before is
+ * followed by a new one, which finds a machine that comes up sooner. A round trip within
+ * a region takes a few milliseconds; the longer timeout is for congested links. */
 #define CONNECT_EAGER_MS 100
 #define CONNECT_TIMEOUT_MS 300
 /* A learned address that has neither answered nor been named for this long is dropped. */
 #define ADDRESS_FORGET_MS 20000
-/* An entry that answered until recently and has failed for this long is replaced by the
- * next one. Longer than a restart would leave the place empty; much shorter would move
- * agents' links at each restart of an entry. */
+/* With max_entries, an entry that answered until recently and has failed for this long is
+ * replaced by the next in rank. A longer wait would leave an agent one link short; one
+ * much shorter than a restart would move agents' links at each restart of an entry. */
 #define REPLACE_AFTER_MS 1000
 
 static void
--- a/src/mesh_parts.h
+++ b/src/mesh_parts.h
@@ -42,7 +42,7 @@
 /** mesh_dial_again - dial what is not linked after DIAL_EAGER_MS. */
 void mesh_dial_again (Mesh *mesh);
 
-/** mesh_dial_all - dial what is not linked, needed and due. */
+/** mesh_dial_all - dial the addresses that are needed, due and not linked. */
 void mesh_dial_all (Mesh *mesh, gint64 now_ms);
 
 /** mesh_on_redial - callback of mesh->redial. */
@@ -61,6 +61,6 @@
 /** mesh_note_surplus - mark the linked entries beyond max_entries. */
 void mesh_note_surplus (Mesh *mesh, gint64 now_ms);
 
-/** mesh_forget_addresses - drop learned ones that have not answered for
- * ADDRESS_FORGET_MS. */
+/** mesh_forget_addresses - drop learned ones that have neither answered nor been named
+ * for ADDRESS_FORGET_MS. */
 void mesh_forget_addresses (Mesh *mesh, gint64 now_ms);
--- a/src/runner.c
+++ b/src/runner.c
@@ -13,8 +13,8 @@
 #define UNRESPONSIVE_CALLS 3
 /* A stop is resent until the end of the run is listed. */
 #define STOP_RESEND_MS 100
-/* How long ended runs are kept: an entry whose link broke reconnects within its lease or
- * has given them up. */
+/* How long ended runs are listed to an entry that reconnects; after a longer break it has
+ * lost its lease and given them up. */
 #define PAST_RUN_MS 3000
 
 static const char *const report_names[]
@@ -317,9 +317,9 @@
     runner->ops->changed (runner->ctx);
 }
 
-/* Starts renew the lease too, but their answers list no runs. When polls were due by the
- * lease alone, ends on a loaded server went unseen for up to 1.3 s if the answer that
- * listed them was lost. */
+/* Polls renew the lease and list the runs, so whichever is older counts. Starts renew the
+ * lease too, but their answers list no runs: by the lease alone, ends on a loaded server
+ * went unseen for up to 1.3 s if the answer that listed them was lost. */
 static gboolean
 poll_is_due (const Runner *runner)
 {
--- a/src/runner.h
+++ b/src/runner.h
@@ -25,7 +25,7 @@
   RunKey key;
   ReportKind kind;
   const char *reason; /* a static string; may be empty */
-  guint run_ms;       /* of a run that is done; 0: on a cold server */
+  guint run_ms;       /* of an ended run; 0: it never ran, or on a cold server */
 } RunReport;
 
 /* A start that an entry orders. */
@@ -74,7 +74,7 @@
 {
   const ServerCalls *calls;
   gpointer server; /* handed to the calls */
-  guint lease_ms;  /* of the backend server, which cuts longer ones to this */
+  guint lease_ms;  /* length of the server's leases; it cuts longer ones to this */
 } RunnerInit;
 
 Runner *runner_new (const RunnerInit *init, const RunnerOps *ops, gpointer ctx);
@@ -83,7 +83,7 @@
 /** runner_close - make no more calls and ignore outstanding answers. */
 void runner_close (Runner *runner);
 
-/** runner_facts - a heartbeat report of the server. Return: FALSE if it is outdated. */
+/** runner_facts - take a heartbeat report of the server. Return: FALSE if outdated. */
 gboolean runner_facts (Runner *runner, const ServerFacts *facts, gint64 now_ms);
 
 /** runner_server_left - @instance of the backend server has shut down in order. */
--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -19,6 +19,7 @@
 #define STOP_TIMEOUT_MS 100
 /* Time for the answer itself, on top of the wait at the server. */
 #define LONG_POLL_ANSWER_MS 100
+/* Most times that one start is sent; it is resent when refused as fenced or late. */
 #define STARTS_MAX 4
 
 /* A reconciling call without an answer is retried at once, since single ones get lost;
@@ -61,9 +62,9 @@
   return call;
 }
 
-/* Only answers within the timeout count in the mean. A server that has become slower than
- * the timeout would stay unanswering for good, so it is doubled while no answer comes;
- * single lost calls leave it as it is. */
+/* Only answers within the timeout count in the mean, so a server that has become slower
+ * than the timeout would be timed out forever: the timeout is doubled while no answer
+ * comes. Single lost calls leave it as it is. */
 static guint
 short_timeout (const Runner *runner)
 {
@@ -73,8 +74,9 @@
   return (guint)MIN (base_ms * (1 << doublings), LONG_TIMEOUT_MS);
 }
 
-/* A lease may have been accepted even if no answer comes. An unresponsive server is sent
- * none: after the length of one it has surely ended all its runs. */
+/* A lease counts from when it is sent, since the server may accept it even if no answer
+ * comes. An unresponsive server is sent none, so that it has surely ended all its runs
+ * once the last one has expired. */
 static void
 add_lease (Runner *runner, ServerCall *call)
 {
@@ -108,7 +110,7 @@
       return FALSE;
     }
   /* Another runner of this server has drawn a higher token from the server's clock, or a
-   * call of an earlier one came late: go above any that the clock allowed. */
+   * late call of an earlier one carried it: the clock's present value is above both. */
   if (reply->end == CALL_FENCED && cookie->token == runner->token)
     runner->token = MAX (runner->token + 1, (guint64)reply->server_ms);
   return TRUE;
--- a/src/runner_progress.c
+++ b/src/runner_progress.c
@@ -3,8 +3,8 @@
 #include "histograms.h"
 #include "runner_parts.h"
 
-/* A run without progress for this long is stalled; of a long task one percent takes more,
- * so it gets this fraction of its expected time. */
+/* A run is stalled after STALL_MS without progress, or after 1/STALL_FRACTION of its
+ * expected time if that is more: of a long task, one percent may take longer. */
 #define STALL_MS 200
 #define STALL_FRACTION 10
 #define REPORT_REPEAT_MS 200
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -76,7 +76,7 @@
 
 /* After a power loss of all machines, an agent that was back first dialled its entries
  * before their processes were up and then waited 250 ms, the interval for addresses that
- * may be gone for good; callers were refused or delayed for up to 0.23 s. */
+ * may never come back; callers were refused or delayed for up to 0.23 s. */
 static void
 test_restarting_peer (void)
 {
@@ -263,7 +263,7 @@
 
 /* Number of links to entries, or to agents. */
 static guint
-linked (const Node *node, gboolean entries)
+count_links (const Node *node, gboolean entries)
 {
   guint n = 0;
 
@@ -276,7 +276,7 @@
 check_agents (const Cluster *cluster)
 {
   for (guint i = 0; i < AGENTS; i++)
-    g_assert_cmpuint (linked (&cluster->agents[i], TRUE), ==, MAX_ENTRIES);
+    g_assert_cmpuint (count_links (&cluster->agents[i], TRUE), ==, MAX_ENTRIES);
 }
 
 /* Without a limit each agent links to each entry it learns of: with 55 entries and 240
@@ -291,10 +291,10 @@
   check_agents (&cluster);
   for (guint i = 0; i < ENTRIES; i++)
     {
-      guint agents = linked (&cluster.entries[i], FALSE);
+      guint agents = count_links (&cluster.entries[i], FALSE);
 
       g_test_message ("entry %u: %u agents", i, agents);
-      g_assert_cmpuint (linked (&cluster.entries[i], TRUE), ==, ENTRIES - 1);
+      g_assert_cmpuint (count_links (&cluster.entries[i], TRUE), ==, ENTRIES - 1);
       g_assert_cmpuint (agents, >, 0);
       g_assert_cmpuint (agents, <=, MAX_AGENTS_PER_ENTRY);
     }
@@ -314,7 +314,7 @@
   cluster_run (&cluster, CONVERGE_MS);
   check_agents (&cluster);
   for (guint i = ENTRIES - MAX_ENTRIES; i < ENTRIES; i++)
-    g_assert_cmpuint (linked (&cluster.entries[i], FALSE), ==, AGENTS);
+    g_assert_cmpuint (count_links (&cluster.entries[i], FALSE), ==, AGENTS);
   cluster_close (&cluster);
 }
 
@@ -330,12 +330,12 @@
   for (guint i = 0; i < AGENTS; i++)
     cluster.agents[i].has_work = TRUE;
   cluster_run (&cluster, CONVERGE_MS);
-  g_assert_cmpuint (linked (&cluster.entries[0], FALSE), ==, AGENTS);
+  g_assert_cmpuint (count_links (&cluster.entries[0], FALSE), ==, AGENTS);
   for (guint i = 0; i < AGENTS; i++)
     cluster.agents[i].has_work = FALSE;
   cluster_run (&cluster, CONVERGE_MS);
   check_agents (&cluster);
-  g_assert_cmpuint (linked (&cluster.entries[0], FALSE), <, AGENTS);
+  g_assert_cmpuint (count_links (&cluster.entries[0], FALSE), <, AGENTS);
   cluster_close (&cluster);
 }
 
--- a/tests/test-runner.c
+++ b/tests/test-runner.c
@@ -11,8 +11,8 @@
 #define CALLS_MAX 1024
 #define REPORTS_MAX 64
 #define REFUSING_MS 6000
-#define CALLS_PER_S 60
-/* Ends the loop of calls that fail and are repeated at once. */
+#define CALLS_PER_S_MAX 60
+/* Most calls answered in one tick, where each call fails and is repeated at once. */
 #define CALLS_PER_TICK_MAX 200
 #define COLD_MS 3000
 
@@ -474,7 +474,8 @@
   g_assert_true (runner_ready (scene->runner));
 }
 
-/* Another agent's token is higher than the reported clock: the own one goes above it. */
+/* Another agent has used a token higher than the clock in the server's report: after the
+ * refusal, the own one is raised to the server's present clock. */
 static void
 token_goes_above_a_higher_one (Scene *scene)
 {
@@ -717,9 +718,9 @@
   return n;
 }
 
-/* Guards against ends that are seen up to 100 ms late for a second: the answer of the
- * long poll was lost with its connection, and it was not replaced before its timeout
- * although a poll had listed an end that it should have. */
+/* Guards against a second in which ends are seen only by polls, up to 100 ms late: the
+ * answer of the long poll was lost with its connection, and the long poll was replaced
+ * only after its timeout although a poll had listed an end that it should have. */
 static void
 lost_watch_is_replaced (Scene *scene)
 {
@@ -736,7 +737,8 @@
   g_assert_cmpint (last_report (scene)->kind, ==, REPORT_DONE);
 }
 
-/* The answers of a poll and of the long poll often come together: none is lost then. */
+/* The answers of a poll and of the long poll often come together: the long poll must not
+ * be taken for lost then. */
 static void
 watch_that_answers_is_kept (Scene *scene)
 {
@@ -794,8 +796,8 @@
           answer (scene, &scene->calls[i], CALL_UNANSWERED);
       advance (scene, RUNNER_TICK_MS);
     }
-  g_assert_cmpuint (scene->n_calls, <=, (guint64)REFUSING_MS / 1000 * CALLS_PER_S);
-  /* Once it is back, the next call notices. */
+  g_assert_cmpuint (scene->n_calls, <=, (guint64)REFUSING_MS / 1000 * CALLS_PER_S_MAX);
+  /* The next call that is answered ends the unresponsive state. */
   advance (scene, RUNNER_TICK_MS);
   answer (scene, open_poll (scene), CALL_DONE);
   g_assert_true (runner_ready (scene->runner));
