--- a/src/mesh.h
+++ b/src/mesh.h
@@ -75,7 +75,8 @@
 void mesh_learn (Mesh *mesh, const char *address);
 void mesh_accept (Mesh *mesh, evutil_socket_t fd);
 
-/** mesh_tick - dial what is not linked, forget what was lost long ago. */
+/** mesh_tick - call it every MESH_TICK_MS: dials, announces entries, closes surplus links
+ * and forgets old peers and addresses. */
 void mesh_tick (Mesh *mesh, gint64 now_ms);
 #define MESH_TICK_MS 100
 
--- a/src/runner.h
+++ b/src/runner.h
@@ -86,7 +86,7 @@
 /** runner_facts - take a heartbeat report of the server. Return: FALSE if outdated. */
 gboolean runner_facts (Runner *runner, const ServerFacts *facts, gint64 now_ms);
 
-/** runner_server_left - @instance of the backend server has shut down in order. */
+/** runner_server_left - @instance of the backend server has shut down cleanly. */
 void runner_server_left (Runner *runner, const char *instance, gint64 now_ms);
 
 /** runner_start - start it now or report REPORT_NOT_STARTED. */
