--- a/src/config.c
+++ b/src/config.c
@@ -268,9 +268,9 @@
 static void
 change_conflict (Change *change, const ConfigRow *row)
 {
-  char *message = g_strdup_printf ("version %" G_GUINT64_FORMAT
-                                   " is current, written with token %s",
-                                   row->version, config_row_token (row));
+  char *message
+      = g_strdup_printf ("version %" G_GUINT64_FORMAT " stands, written with token %s",
+                         row->version, config_row_token (row));
 
   change_end (change, CONFIG_CONFLICT, row->version, message);
   g_free (message);
@@ -286,7 +286,7 @@
   if (status == TABLE_NOT_SENT)
     {
       change_end (change, CONFIG_UNAVAILABLE, change->config->version,
-                  "the table is unreachable");
+                  "the table is out of reach");
       return;
     }
   if (status != TABLE_OK)
@@ -379,7 +379,7 @@
     }
   if (change->written_ms == 0)
     change_end (change, CONFIG_UNAVAILABLE, change->config->version,
-                "the table is unreachable");
+                "the table is out of reach");
   else if (clock_now_ms () - change->written_ms > READBACK_LIMIT_MS)
     change_end (change, CONFIG_UNCERTAIN, change->config->version, change->token);
   else
