--- a/src/entry.c
+++ b/src/entry.c
@@ -119,7 +119,7 @@
     return;
   entry->row_dropped = TRUE;
   members_leave (entry->members, TRUE);
-  log_notice ("nothing is in flight any more");
+  log_notice ("drain finished");
   event_base_loopexit (entry->base, &delay);
 }
 
