--- a/src/counters.h
+++ b/src/counters.h
@@ -18,7 +18,8 @@
   X (CLAIM_BATCHES, "claim_batches", "table writes that carried claims")                 \
   X (CLAIMS_REPEATED, "claims_repeated", "keyed submissions seen before")                \
   X (CLAIMS_REFUSED, "claims_refused", "keyed submissions refused, table unreachable")   \
-  X (JOBS_SETTLED, "jobs_settled", "jobs reconciled with slot owners after a lost home") \
+  X (JOBS_RECONCILED, "jobs_settled",                                                    \
+     "jobs reconciled with slot owners after a lost home")                               \
   X (TASKS_REGRANTED, "tasks_regranted", "tasks granted again after proof of no start")  \
   X (TASKS_LOST, "tasks_lost", "tasks whose outcome cannot be determined")               \
   X (GRANTS_ACCEPTED, "grants_accepted", "tasks queued as home")                         \
@@ -46,7 +47,7 @@
   X (FRAMES_DROPPED, "frames_dropped", "repeated frames dropped")                        \
   X (BYTES_SENT, "bytes_sent", "bytes sent to entries and agents")                       \
   X (BYTES_RECEIVED, "bytes_received", "bytes received from entries and agents")         \
-  X (WISHES_SENT, "wishes_sent", "resource requests sent to agents")                     \
+  X (RESOURCE_REQUESTS_SENT, "wishes_sent", "resource requests sent to agents")          \
   X (RUN_ORDERS_SENT, "run_orders_sent", "orders to agents to start tasks")              \
   X (RUN_REPORTS_SENT, "run_reports_sent", "reports on runs to entries")                 \
   X (STATES_SENT, "states_sent", "states of the backend server sent to entries")         \
--- a/src/holder_reconcile.c
+++ b/src/holder_reconcile.c
@@ -169,7 +169,7 @@
   part = holder_part_by_grant (job, grant);
   if (part == NULL)
     return;
-  counter_add (COUNTER_JOBS_SETTLED, 1);
+  counter_add (COUNTER_JOBS_RECONCILED, 1);
   timeline_add ("job-settled", key, -1, proved ? "proved" : "unproved");
   if (proved)
     regrant_unstarted (holder, job, part);
--- a/src/leased_entry.c
+++ b/src/leased_entry.c
@@ -67,7 +67,7 @@
 
   gw__run_order__init (order);
   order->wish = resource_request_to_wire (resources);
-  counter_add (COUNTER_WISHES_SENT, 1);
+  counter_add (COUNTER_RESOURCE_REQUESTS_SENT, 1);
   link_append (peer->link, LINK_RUN_ORDERS, &order->base);
 }
 
--- a/src/process_stats.c
+++ b/src/process_stats.c
@@ -55,9 +55,10 @@
               " backlog_most=%" G_GUINT64_FORMAT " lag_most_ms=%" G_GINT64_FORMAT
               " cpu_us=%" G_GINT64_FORMAT,
               SINCE (FRAMES_SENT), SINCE (BYTES_SENT), SINCE (FRAMES_RECEIVED),
-              SINCE (BYTES_RECEIVED), SINCE (WISHES_SENT), SINCE (RUN_ORDERS_SENT),
-              SINCE (STATES_SENT), SINCE (RUN_REPORTS_SENT), SINCE (LINKS_OPENED),
-              SINCE (LINKS_SILENT), counter_values[COUNTER_LINK_BACKLOG], stats->lag_ms,
+              SINCE (BYTES_RECEIVED), SINCE (RESOURCE_REQUESTS_SENT),
+              SINCE (RUN_ORDERS_SENT), SINCE (STATES_SENT), SINCE (RUN_REPORTS_SENT),
+              SINCE (LINKS_OPENED), SINCE (LINKS_SILENT),
+              counter_values[COUNTER_LINK_BACKLOG], stats->lag_ms,
               cpu_us - stats->cpu_us);
 #undef SINCE
   memcpy (stats->last, counter_values, sizeof stats->last);
