--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -98,7 +98,7 @@
   test-home /home/started-by-another
 mutant late-question-claims src/owner_fence.c ' && task->attempt <= up_to_attempt' '' \
   test-home /home/late-question
-mutant requeued-while-held src/home_outcomes.c 'if (job->held || job->set_aside)' 'if (FALSE)' \
+mutant requeued-while-held src/home_outcomes.c 'if (job->suspended || job->set_aside)' 'if (FALSE)' \
   test-home /home/refused-while-held
 mutant attempts-wrap src/home_dispatch.c 'if (job->placements == G_MAXUINT16)' 'if (FALSE)' \
   test-home /home/attempts-used-up
--- a/src/home.c
+++ b/src/home.c
@@ -243,7 +243,7 @@
   GHashTableIter iter;
   HomeGroup *group;
 
-  home_release_held (home);
+  home_resume_jobs (home);
   g_hash_table_iter_init (&iter, home->groups);
   while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&group))
     {
--- a/src/home_dispatch.c
+++ b/src/home_dispatch.c
@@ -52,29 +52,30 @@
       link_append (backend->link, LINK_STARTS, &start->base);
       return;
     }
+  /* Without an agent this entry owns the slots itself. */
   executor_start (backend->executor, start, home->init.incarnation);
   gw__start__free_unpacked (start, NULL);
 }
 
-/* An unresponsive holder may already reconcile its tasks with the slot owners and grant
- * them elsewhere: none of them starts until the holder is received again. */
+/* An unresponsive holder may already be reconciling its tasks with the slot owners and
+ * granting them elsewhere: none of them is started until a frame of it arrives again. */
 static void
-hold_job (HomeJob *job)
+suspend_job (HomeJob *job)
 {
-  queue_hold (job->group->queue, job->queue_job, job->waiting);
-  job->held = TRUE;
+  queue_withdraw (job->group->queue, job->queue_job, job->waiting);
+  job->suspended = TRUE;
 }
 
 static void
-unhold_jobs (Home *home, guint64 holder)
+resume_jobs_of (Home *home, guint64 holder)
 {
   HomeJob *job;
 
   LIST_FOREACH (job, &home->job_list, link_entry)
     {
-      if (!job->held || job->key.job.holder != holder)
+      if (!job->suspended || job->key.job.holder != holder)
         continue;
-      job->held = FALSE;
+      job->suspended = FALSE;
       queue_push (job->group->queue, job->queue_job, job->waiting);
     }
 }
@@ -84,7 +85,7 @@
 static void
 set_aside (HomeJob *job)
 {
-  queue_hold (job->group->queue, job->queue_job, job->waiting);
+  queue_withdraw (job->group->queue, job->queue_job, job->waiting);
   job->set_aside = TRUE;
 }
 
@@ -102,14 +103,17 @@
     }
 }
 
+/* Whether some free slots may be barred to the job: by its memory, or since a task goes
+ * only to slot owners in a roster that its holder has acknowledged. */
 static gboolean
 has_constraints (const HomeJob *job, guint64 acked_version)
 {
   return job->memory_mb > 0 || acked_version < job->group->backends->roster_version;
 }
 
-/* Attempt numbers must rise with every start of a task. A job that has used up the
- * 16 bits of its grant goes back to its holder for a new grant. */
+/* Attempt numbers must rise with every start of a task; the low 16 bits count the job's
+ * placements under one grant. A job that has used them up goes back to its holder for a
+ * new grant. */
 static void
 hand_back_exhausted (HomeJob *job)
 {
@@ -135,13 +139,13 @@
   job = queue_job_data (queue_job);
   if (!home->ops->holder_alive (job->key.job.holder, home->ctx))
     {
-      queue_finished (group->queue, queue_job, TRUE);
-      hold_job (job);
+      queue_release (group->queue, queue_job, TRUE);
+      suspend_job (job);
       return TRUE;
     }
   if (job->placements == G_MAXUINT16)
     {
-      queue_finished (group->queue, queue_job, TRUE);
+      queue_release (group->queue, queue_job, TRUE);
       hand_back_exhausted (job);
       return TRUE;
     }
@@ -151,7 +155,7 @@
                              queue_waiting (group->queue));
   if (backend == NULL)
     {
-      queue_finished (group->queue, queue_job, TRUE);
+      queue_release (group->queue, queue_job, TRUE);
       if (!has_constraints (job, acked))
         return FALSE;
       set_aside (job);
@@ -191,11 +195,11 @@
 }
 
 void
-home_release_held (Home *home)
+home_resume_jobs (Home *home)
 {
   HomeJob *job;
 
   LIST_FOREACH (job, &home->job_list, link_entry)
-    if (job->held && home->ops->holder_alive (job->key.job.holder, home->ctx))
-      unhold_jobs (home, job->key.job.holder);
+    if (job->suspended && home->ops->holder_alive (job->key.job.holder, home->ctx))
+      resume_jobs_of (home, job->key.job.holder);
 }
--- a/src/home_outcomes.c
+++ b/src/home_outcomes.c
@@ -125,10 +125,10 @@
   task->backend = NULL;
   job->waiting++;
   TAILQ_INSERT_HEAD (&job->waiting_tasks, task, waiting_entry);
-  queue_finished (job->group->queue, job->queue_job, TRUE);
+  queue_release (job->group->queue, job->queue_job, TRUE);
   /* The job is out of the queue: its tasks, this one too, are pushed again together. */
-  if (job->held || job->set_aside)
-    queue_hold (job->group->queue, job->queue_job, 1);
+  if (job->suspended || job->set_aside)
+    queue_withdraw (job->group->queue, job->queue_job, 1);
 }
 
 HomeTask *
@@ -149,9 +149,9 @@
 
   if (n == 0)
     return;
-  if (!job->held && !job->set_aside)
+  if (!job->suspended && !job->set_aside)
     queue_drop (job->group->queue, job->queue_job, n);
-  job->held = FALSE;
+  job->suspended = FALSE;
   job->set_aside = FALSE;
   while (job->waiting > 0)
     {
@@ -339,7 +339,7 @@
 {
   HomeJob *job = task->job;
 
-  queue_finished (job->group->queue, job->queue_job, FALSE);
+  queue_release (job->group->queue, job->queue_job, FALSE);
   task_ended (task, outcome);
   if (job->finished)
     job_free_if_done (job);
--- a/src/home_parts.h
+++ b/src/home_parts.h
@@ -50,7 +50,7 @@
   guint declared_ms;
   guint memory_mb;
   guint16 placements;
-  gboolean held;      /* out of the queue while its holder is unresponsive */
+  gboolean suspended; /* out of the queue while its holder is unresponsive */
   gboolean set_aside; /* out of the queue for this round of dispatching */
   gboolean orphan;    /* its outcomes are no longer needed */
   gboolean finished;  /* acknowledged whole; freed with its last placed task */
@@ -119,4 +119,4 @@
 
 /* home_dispatch.c */
 void home_dispatch (HomeGroup *group);
-void home_release_held (Home *home);
+void home_resume_jobs (Home *home);
--- a/src/queue.c
+++ b/src/queue.c
@@ -210,7 +210,7 @@
 }
 
 void
-queue_hold (Queue *queue, QueueJob *job, guint tasks)
+queue_withdraw (Queue *queue, QueueJob *job, guint tasks)
 {
   g_assert (tasks <= job->waiting);
   change_waiting (queue, job, -(int)tasks);
@@ -251,11 +251,11 @@
 }
 
 void
-queue_finished (Queue *queue, QueueJob *job, gboolean again)
+queue_release (Queue *queue, QueueJob *job, gboolean requeue)
 {
   g_assert (job->running > 0);
   change_running (queue, job, -1);
-  if (again)
+  if (requeue)
     {
       change_waiting (queue, job, 1);
       return;
--- a/src/queue.h
+++ b/src/queue.h
@@ -47,8 +47,8 @@
 /** queue_drop - @tasks waiting tasks of the job will never start here. */
 void queue_drop (Queue *queue, QueueJob *job, guint tasks);
 
-/** queue_hold - take @tasks waiting tasks out until they are pushed again. */
-void queue_hold (Queue *queue, QueueJob *job, guint tasks);
+/** queue_withdraw - take @tasks waiting tasks out until they are pushed again. */
+void queue_withdraw (Queue *queue, QueueJob *job, guint tasks);
 
 /**
  * queue_pick - choose the job whose task starts next, and count that task as running.
@@ -57,8 +57,9 @@
  */
 QueueJob *queue_pick (Queue *queue, guint slots);
 
-/** queue_finished - a picked task has ended or, with @again, waits again. */
-void queue_finished (Queue *queue, QueueJob *job, gboolean again);
+/** queue_release - a picked task no longer runs: it has ended or, with @requeue, waits
+ * again. */
+void queue_release (Queue *queue, QueueJob *job, gboolean requeue);
 
 /** queue_reconfigure - the aging, or the teams' weights and caps, may have changed. */
 void queue_reconfigure (Queue *queue, double aging);
--- a/tests/test-properties.cc
+++ b/tests/test-properties.cc
@@ -268,7 +268,7 @@
           QueueJob *job = running[choice % running.size ()];
 
           running.erase (running.begin () + choice % running.size ());
-          queue_finished (queue, job, what == 3);
+          queue_release (queue, job, what == 3);
           waiting += what == 3;
         }
       RC_ASSERT (queue_waiting (queue) == waiting);
--- a/tools/bench_cost.c
+++ b/tools/bench_cost.c
@@ -268,7 +268,7 @@
   guint rounds = 20000;
 
   for (guint i = 0; i < rounds; i++)
-    queue_finished (queue, queue_pick (queue, 80), TRUE);
+    queue_release (queue, queue_pick (queue, 80), TRUE);
   start_us = clock_now_us () - start_us;
   queue_free (queue);
   return start_us * 1000.0 / rounds;
