--- a/src/runner.c
+++ b/src/runner.c
@@ -76,7 +76,7 @@
 void
 runner_close (Runner *runner)
 {
-  runner->instance_count++;
+  runner->instance_epoch++;
   runner->state = INSTANCE_UNKNOWN;
 }
 
@@ -344,7 +344,7 @@
   if (poll_is_due (runner))
     runner_send_poll (runner);
   long_polls_check (&runner->long_polls, now_ms);
-  runner_send_long_poll (runner);
+  runner_open_long_polls (runner);
 }
 
 void
--- a/src/runner_calls.c
+++ b/src/runner_calls.c
@@ -30,7 +30,7 @@
 typedef struct
 {
   RunKey key;
-  guint instance_count;
+  guint instance_epoch;
   guint64 token;
   gint64 sent_ms;
   guint64 long_poll; /* its number; 0: it is none */
@@ -42,7 +42,7 @@
 {
   Cookie *cookie = g_new0 (Cookie, 1);
 
-  cookie->instance_count = runner->instance_count;
+  cookie->instance_epoch = runner->instance_epoch;
   cookie->token = runner->token;
   cookie->sent_ms = runner->now_ms;
   return cookie;
@@ -91,7 +91,7 @@
 static gboolean
 take_reply (Runner *runner, const CallReply *reply, const Cookie *cookie)
 {
-  if (cookie->instance_count != runner->instance_count)
+  if (cookie->instance_epoch != runner->instance_epoch)
     return FALSE;
   runner->now_ms = reply->now_ms;
   runner->unanswered = reply->end == CALL_UNANSWERED ? runner->unanswered + 1 : 0;
@@ -227,11 +227,11 @@
   switch (how)
     {
     case RUN_END_DONE:
-      run_rate (runner, run, FALSE);
+      run_update_health (runner, run, FALSE);
       run_end (runner, run, REPORT_DONE, "");
       break;
     case RUN_END_FAILED:
-      run_rate (runner, run, TRUE);
+      run_update_health (runner, run, TRUE);
       run_end (runner, run, REPORT_FAILED, "task failed");
       break;
     case RUN_END_STOPPED:
@@ -329,9 +329,9 @@
   Runner *runner = ctx;
   Cookie *cookie = data;
 
-  if (cookie->instance_count == runner->instance_count && cookie->long_poll != 0)
+  if (cookie->instance_epoch == runner->instance_epoch && cookie->long_poll != 0)
     long_polls_ended (&runner->long_polls, cookie->long_poll);
-  if (cookie->instance_count == runner->instance_count && cookie->reconcile)
+  if (cookie->instance_epoch == runner->instance_epoch && cookie->reconcile)
     runner->reconciling = FALSE;
   if (!take_reply (runner, reply, cookie))
     goto out;
@@ -352,7 +352,7 @@
   else if (cookie->reconcile)
     resolve_starts (runner, reply, cookie->token);
   long_polls_check (&runner->long_polls, runner->now_ms);
-  runner_send_long_poll (runner);
+  runner_open_long_polls (runner);
 
 out:
   g_free (cookie);
@@ -373,7 +373,7 @@
 }
 
 void
-runner_send_long_poll (Runner *runner)
+runner_open_long_polls (Runner *runner)
 {
   guint64 number;
 
--- a/src/runner_instance.c
+++ b/src/runner_instance.c
@@ -35,7 +35,7 @@
     return;
   runner_lose_all (runner, kind, reason);
   remember_instance (runner, g_steal_pointer (&runner->instance));
-  runner->instance_count++;
+  runner->instance_epoch++;
   long_polls_reset (&runner->long_polls);
   runner->reconciling = FALSE;
   runner_set_state (runner, INSTANCE_UNKNOWN);
@@ -82,7 +82,7 @@
 {
   runner_end_instance (runner, REPORT_SERVER_ENDED, "backend server restarted");
   runner->instance = g_strdup (facts->instance);
-  runner->instance_count++;
+  runner->instance_epoch++;
   runner->sequence = 0;
   runner->token = (guint64)facts->server_ms;
   runner->ends_seen = 0;
--- a/src/runner_parts.h
+++ b/src/runner_parts.h
@@ -1,7 +1,8 @@
 #pragma once
-/* Shared by the source files of the runner. runner.c keeps the runs and decides,
- * runner_instance.c follows the instances of the backend server, runner_calls.c makes the
- * calls and handles their answers, runner_progress.c rates the server by them. */
+/* Shared by the source files of the runner. runner.c keeps the runs and decides
+ * which to start and stop, runner_instance.c follows the instances of the backend server,
+ * runner_calls.c makes the calls and handles their answers, runner_progress.c judges the
+ * server's health by the runs' progress and ends. */
 #include "long_polls.h"
 #include "peer_clock.h"
 #include "runner.h"
@@ -11,8 +12,8 @@
 /* Instances remembered, so that a delayed report of an earlier one is recognised. */
 #define PAST_INSTANCES 8
 
-/* The server's monotonic clock may run this much slower than the own one (its published
- * bound). */
+/* The server's monotonic clock may run this much slower than the own one (the bound
+ * that its protocol states). */
 #define SERVER_CLOCK_SLOW_PERCENT 2
 
 typedef enum
@@ -30,14 +31,14 @@
   char *payload;
   Demand demand;
   RunState state;
-  gint64 valid_until_ms;
+  gint64 valid_until_ms; /* the start is not sent again after this */
   guint expected_ms;
   gint64 started_ms;
   guint percent;           /* of its work that is done */
   gint64 progress_ms;      /* when that last changed */
   gint64 reported_ms;      /* when it was last reported as a straggler */
-  gboolean rated;          /* its run time is part of the server's health */
-  guint64 token;           /* of its last start */
+  gboolean counted;        /* its run time is counted in the server's health */
+  guint64 token;           /* fencing token of its last start */
   guint starts;            /* sent */
   const char *stop_reason; /* NULL: it may run */
   gint64 stop_sent_ms;
@@ -68,28 +69,29 @@
   TAILQ_HEAD (, PastRun) past;
   guint n_runs;
   Demand used;
-  GHashTable *entry_leases; /* incarnation -> gint64 until when its runs may go on */
+  GHashTable *entry_leases; /* incarnation -> gint64, ms: its runs may go on until then */
   char *instance;
   char **past_instances;
-  guint instance_count; /* raised at begin and end of each, to spot outdated answers */
+  guint instance_epoch; /* raised at begin and end of an instance, to spot outdated
+                           answers */
   InstanceState state;
   guint64 sequence;
   guint64 token;
   guint64 ends_seen;
   PeerClock clock;
-  gint64 server_lease_until; /* server's clock: the longest lease that it may hold */
+  gint64 server_lease_until; /* server's clock, ms: the end of the longest lease sent */
   gint64 lease_sent_ms;
-  gint64 listed_ms; /* when its lists were last requested or received */
+  gint64 listed_ms; /* when a poll was last sent or a list of runs received */
   guint unanswered; /* calls since the last answer */
   double call_ms;   /* mean answer time */
   gint64 now_ms;    /* of the call that is being handled */
   Demand capacity;
   ServerHealth server_health;
   gboolean server_draining;
-  gint64 cold_until_ms; /* by its own report it runs slower until then */
-  gboolean cold;
-  double other_slowness; /* slowness when warm while it is cold, and the reverse */
-  gboolean draining;
+  gint64 cold_until_ms;  /* just started: by its report it runs slower until then */
+  gboolean cold;         /* at the last runner_check_cold () */
+  double other_slowness; /* kept for the other state: warm while cold, and the reverse */
+  gboolean draining;     /* the agent */
   gboolean zone_closed;
   LongPolls long_polls;
   gboolean reconciling; /* a reconciling call is under way */
@@ -105,8 +107,8 @@
 
 /* runner_progress.c */
 
-/** run_rate - count an ended run in the server's health. */
-void run_rate (Runner *runner, Run *run, gboolean failed);
+/** run_update_health - count an ended run in the server's health. */
+void run_update_health (Runner *runner, Run *run, gboolean failed);
 
 /** runner_take_progress - evaluate the progress of the running tasks that are listed. */
 void runner_take_progress (Runner *runner, const CallReply *reply);
@@ -124,8 +126,8 @@
 void runner_send_start (Runner *runner, Run *run);
 void runner_send_stop (Runner *runner, const RunKey *key);
 
-/** runner_send_long_poll - keep as many long polls open as are needed. */
-void runner_send_long_poll (Runner *runner);
+/** runner_open_long_polls - open long polls until as many as needed are open. */
+void runner_open_long_polls (Runner *runner);
 
 /** runner_send_poll - renew the server's lease and list its runs, without waiting. */
 void runner_send_poll (Runner *runner);
--- a/src/runner_progress.c
+++ b/src/runner_progress.c
@@ -17,16 +17,16 @@
 #define SLOW_SERVER_RATIO 1.8
 
 void
-run_rate (Runner *runner, Run *run, gboolean failed)
+run_update_health (Runner *runner, Run *run, gboolean failed)
 {
   double elapsed = MAX (runner->now_ms - run->started_ms, 1);
   Trust before = runner->server_health.trust;
 
   if (!failed)
     histogram_observe (HISTOGRAM_RUN, (gint64)elapsed);
-  if (!failed && !run->rated)
+  if (!failed && !run->counted)
     server_health_run_slow (&runner->server_health, elapsed / run->expected_ms);
-  run->rated = TRUE;
+  run->counted = TRUE;
   server_health_run_ended (&runner->server_health, failed, runner->now_ms);
   if (runner->server_health.trust != before)
     event_note ("server-trust", "-", "server=%s trust=%d before=%d failing=%.2f",
@@ -85,13 +85,13 @@
 /* Each run is counted once, as soon as its length can be estimated: counted at its end,
  * slow runs would count too late. */
 static void
-rate_by_progress (Runner *runner, Run *run)
+count_by_progress (Runner *runner, Run *run)
 {
   double whole_ms = whole_run_ms (run);
 
-  if (run->rated || whole_ms == 0)
+  if (run->counted || whole_ms == 0)
     return;
-  run->rated = TRUE;
+  run->counted = TRUE;
   server_health_run_slow (&runner->server_health, whole_ms / run->expected_ms);
 }
 
@@ -118,7 +118,7 @@
       if (run == NULL || run->state != RUN_RUNNING || run->stop_reason != NULL)
         continue;
       note_progress (runner, run, reply->running[i].percent);
-      rate_by_progress (runner, run);
+      count_by_progress (runner, run);
       if (is_stalled (runner, run))
         stalled++;
       else if (run->percent > 0)
--- a/src/server_calls.h
+++ b/src/server_calls.h
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-/* Long enough for every job id that an adapter hands in, with its terminator. */
+/* Long enough for the job ids of every protocol, with the terminator. */
 #define RUN_JOB_SIZE 64
 
 /* One start of one task. */
@@ -25,7 +25,7 @@
   CALL_SUPERSEDED, /* refused: a run with this or a higher number was stopped or ended */
   CALL_LATE,       /* refused: its lease would have expired already */
   CALL_NO_ROOM,    /* refused: the server's own capacity check failed */
-  CALL_UNHEALTHY,  /* refused; nothing was done */
+  CALL_UNHEALTHY,  /* refused or not sent; nothing was done */
   CALL_OTHER_INSTANCE, /* refused: the backend server has restarted */
   CALL_REJECTED,       /* refused as malformed */
   CALL_UNANSWERED,     /* it may have been carried out, or may still be */
@@ -69,13 +69,13 @@
 
 typedef struct
 {
-  const char *instance; /* the call is refused by any other one */
+  const char *instance; /* any other instance refuses the call */
   guint64 token;        /* fencing token: the server refuses lower ones */
-  gint64 lease_until;   /* server's clock, for all its runs; 0: leave as it is */
+  gint64 lease_until;   /* server's clock, ms, for all its runs; 0: leave as it is */
   guint timeout_ms;
   CallReplied replied;
-  gpointer ctx;
-  gpointer cookie;
+  gpointer ctx;    /* of the calling module */
+  gpointer cookie; /* of this call */
 } ServerCall;
 
 typedef struct
@@ -85,8 +85,8 @@
                  const char *payload,
                  gpointer server);
   void (*stop) (const ServerCall *call, const RunKey *key, gpointer server);
-  /* Long poll: list all runs and the ends after @ends_seen, which acknowledges the ones
-   * up to it; wait up to @wait_ms for a new end. */
+  /* Long poll: list all running runs and the ended ones numbered above @ends_seen; those
+   * up to it are acknowledged. Wait up to @wait_ms for a new end. */
   void (*hold) (const ServerCall *call,
                 guint64 ends_seen,
                 guint wait_ms,
