--- a/src/admission.h
+++ b/src/admission.h
@@ -2,10 +2,10 @@
 /* Admission control: which waiting jobs are refused because they would be served too
  * late.
  *
- * Sheds load beyond the capacity, short or lasting: a job waits for the work queued ahead
- * of it, and for work that arrives meanwhile and is queued ahead of it too. Refused too
- * early, its caller leaves while capacity frees; too late, its caller has waited without
- * use. */
+ * Load is shed while it exceeds the capacity, however long that lasts. A job waits for
+ * the work queued ahead of it and for later arrivals that are queued ahead of it too. A
+ * job refused too early could still have been served; one refused too late has made its
+ * caller wait without use. */
 #include "arrivals.h"
 
 /* The servers as this entry sees them; work is in ms x thousandths of a core. */
@@ -19,14 +19,14 @@
 
 typedef struct
 {
-  double rank;         /* now */
+  double rank;         /* now; the lowest is served first */
   double rank_on_time; /* its rank while it can meet its objective */
   double rank_late;    /* once it cannot */
   double work;         /* of its waiting tasks */
   double task_ms;
-  gint64 objective_ms;
-  gint64 late_ms;
-  gboolean refusable; /* none of its tasks was ordered */
+  gint64 objective_ms; /* it has its full value if it ends by then */
+  gint64 late_ms;      /* it has no value if it ends after this */
+  gboolean refusable;  /* no start of its tasks was ordered from an agent */
 
   /* Set by admission_decide (). */
   gboolean refused;
--- a/src/budget.c
+++ b/src/budget.c
@@ -1,12 +1,13 @@
 #include "budget.h"
 
-#define RETRY_SHARE 0.1
+#define TOKENS_PER_FIRST_TRY 0.1
+/* Retries allowed at once. */
 #define TOKENS_MAX 20.0
 
 void
 budget_deposit (RetryBudget *budget)
 {
-  budget->tokens = MIN (budget->tokens + RETRY_SHARE, TOKENS_MAX);
+  budget->tokens = MIN (budget->tokens + TOKENS_PER_FIRST_TRY, TOKENS_MAX);
 }
 
 gboolean
--- a/src/callers_keys.c
+++ b/src/callers_keys.c
@@ -46,9 +46,9 @@
 static void
 take_over (Caller *caller)
 {
-  caller->took_over = TRUE;
+  caller->tried_take_over = TRUE;
   claims_take (caller->callers->init.claims, caller->submission->team,
-               caller->submission->client_key, &caller->key, &caller->other,
+               caller->submission->client_key, &caller->key, &caller->job_with_key,
                callers_on_key_claimed, caller);
 }
 
@@ -76,7 +76,7 @@
       callers_finish (caller, &answer);
       return;
     }
-  if (caller->reserved && !caller->took_over && says_not_run (from))
+  if (caller->reserved && !caller->tried_take_over && says_not_run (from))
     take_over (caller);
   else
     forward_answer (caller, from);
@@ -118,13 +118,13 @@
 join_own_job (Caller *caller)
 {
   Callers *callers = caller->callers;
-  HeldJob *job = holder_lookup (callers->init.holder, &caller->other);
+  HeldJob *job = holder_lookup (callers->init.holder, &caller->job_with_key);
   gboolean not_run
       = (job != NULL && job->ended_ms > 0 && !job->started && job->state != JOB_COMPLETE)
-        || holder_abandoned (callers->init.holder, &caller->other);
+        || holder_abandoned (callers->init.holder, &caller->job_with_key);
   Answer answer;
 
-  if (not_run && !caller->took_over)
+  if (not_run && !caller->tried_take_over)
     {
       take_over (caller);
       return;
@@ -133,7 +133,7 @@
     {
       holder_abandon (callers->init.holder, &caller->key);
       caller->reserved = FALSE;
-      caller->key = caller->other;
+      caller->key = caller->job_with_key;
       if (caller->wait)
         holder_wait (job, callers_on_job_done, caller);
       else
@@ -152,16 +152,16 @@
   const Member *member;
   Answer answer;
 
-  if (caller->other.holder == callers->init.incarnation)
+  if (caller->job_with_key.holder == callers->init.incarnation)
     {
       join_own_job (caller);
       return;
     }
-  member = callers_find_member (callers, caller->other.holder);
+  member = callers_find_member (callers, caller->job_with_key.holder);
   if (member != NULL)
     {
-      callers_forward (caller, member, &caller->other, caller->wait ? "?wait=1" : "",
-                       EVHTTP_REQ_GET);
+      callers_forward (caller, member, &caller->job_with_key,
+                       caller->wait ? "?wait=1" : "", EVHTTP_REQ_GET);
       return;
     }
   answer = answer_unknown (409, "the entry that held the job with this key is gone");
@@ -179,7 +179,7 @@
       callers_submit (caller);
       break;
     case CLAIM_REPEATED:
-      caller->other = *other;
+      caller->job_with_key = *other;
       join_first_job (caller);
       break;
     case CLAIM_UNREACHABLE:
--- a/src/callers_parts.h
+++ b/src/callers_parts.h
@@ -18,11 +18,11 @@
   JobKey key;
   gboolean reserved; /* key is reserved, its job not submitted yet */
   Submission *submission;
-  gboolean direct;
-  gboolean wait;
-  gboolean forwarding; /* waiting for another entry's answer */
-  gboolean took_over;  /* has tried to take over the key claim */
-  JobKey other;        /* the job that has the caller's key */
+  gboolean direct;          /* once complete, the response is the backend server's own */
+  gboolean wait;            /* respond when the job has ended */
+  gboolean forwarding;      /* waiting for another entry's answer */
+  gboolean tried_take_over; /* of the key claim */
+  JobKey job_with_key;      /* the job that has the caller's key */
 } Caller;
 
 struct Callers
--- a/src/claims.h
+++ b/src/claims.h
@@ -18,7 +18,8 @@
 typedef void (*ClaimDone) (ClaimResult result, const JobKey *other, gpointer ctx);
 
 /**
- * claims_new - @timeout_ms: after this long without the table's answer a claim fails.
+ * claims_new - @timeout_ms: after this long without the table's answer a claim ends as
+ * CLAIM_UNREACHABLE.
  * @writes_per_s: limit of writes to the table; one holds up to 256 claims.
  */
 Claims *
--- a/src/counters.h
+++ b/src/counters.h
@@ -1,5 +1,6 @@
 #pragma once
-/* The process's counters, listed in COUNTER_LIST and served on the metrics page. */
+/* The process's counters, maxima and gauges, listed in COUNTER_LIST and served on the
+ * metrics page. */
 #include <glib.h>
 
 /* X (identifier, name on the page, what it counts) */
--- a/src/entry.c
+++ b/src/entry.c
@@ -107,7 +107,8 @@
 nothing_in_flight (const Entry *entry)
 {
   return holder_open_jobs (entry->holder) == 0 && home_open_tasks (entry->home) == 0
-         && callers_open (entry->callers) == 0 && reconcile_open (entry->reconcile) == 0;
+         && callers_open (entry->callers) == 0
+         && reconcile_open_queries (entry->reconcile) == 0;
 }
 
 static void
--- a/src/log.h
+++ b/src/log.h
@@ -13,13 +13,13 @@
 } LogLevel;
 
 /**
- * log_init - set the program name and the highest level written.
+ * log_init - set the program name and the least severe level written.
  * @program: the program's name, kept by reference.
- * @level: lines above this level are dropped.
+ * @level: less severe lines are dropped.
  */
 void log_init (const char *program, LogLevel level);
 
-/** log_set_level - change the highest level written. */
+/** log_set_level - change the least severe level written. */
 void log_set_level (LogLevel level);
 
 /** log_level_parse - "error", "warning", "notice", "info" or "debug"; -1 if none of them.
--- a/src/reconcile.c
+++ b/src/reconcile.c
@@ -12,9 +12,10 @@
 {
   OWNER_PENDING,
   OWNER_ANSWERED,
-  OWNER_UNREACHABLE, /* or restarted: proves nothing about its tasks */
+  OWNER_LOST, /* unreachable or restarted: proves nothing about its tasks */
 } OwnerAnswer;
 
+/* The open tasks of one job that the lost home had under one grant. */
 typedef struct
 {
   JobKey key;
@@ -31,7 +32,7 @@
   guint64 incarnation;
   OwnerAnswer answer;
   Link *link;
-  guint replies; /* still expected */
+  guint replies_expected; /* on this link, to the fences */
   gint64 dialed_ms;
   gint64 lost_ms;  /* when its link was lost; 0: it was not lost */
   GArray *started; /* StartedTask */
@@ -50,7 +51,7 @@
   Reconcile *reconcile;
   guint64 id;
   gint64 begun_ms;
-  gboolean agentless; /* the lost home owned some slots itself */
+  gboolean home_owned_slots; /* the lost home owned some slots itself */
   gboolean concluded;
   GPtrArray *parts; /* of QueryPart */
   TAILQ_HEAD (, QueryOwner) owners;
@@ -191,7 +192,7 @@
 
   if (info->agent_address[0] == '\0')
     {
-      query->agentless = TRUE;
+      query->home_owned_slots = TRUE;
       return;
     }
   owner = g_new0 (QueryOwner, 1);
@@ -208,7 +209,7 @@
 static void
 query_conclude (Query *query)
 {
-  gboolean proved = !query->agentless;
+  gboolean proved = !query->home_owned_slots;
   const QueryOwner *owner;
 
   if (query->concluded)
@@ -217,7 +218,7 @@
     {
       if (owner->answer == OWNER_PENDING)
         return;
-      if (owner->answer == OWNER_UNREACHABLE)
+      if (owner->answer == OWNER_LOST)
         proved = FALSE;
     }
   query->concluded = TRUE;
@@ -287,8 +288,9 @@
   link_append (owner->link, LINK_FENCES, &fence->base);
 }
 
+/* The outcomes of the tasks that this owner started can no longer come. */
 static void
-lose_started (QueryOwner *owner)
+report_started_lost (QueryOwner *owner)
 {
   Reconcile *reconcile = owner->query->reconcile;
 
@@ -301,13 +303,14 @@
   g_array_set_size (owner->started, 0);
 }
 
+/* An owner that has answered stays answered. */
 static void
-owner_set_unreachable (QueryOwner *owner)
+owner_give_up (QueryOwner *owner)
 {
   link_drop (&owner->link);
   if (owner->answer == OWNER_PENDING)
-    owner->answer = OWNER_UNREACHABLE;
-  lose_started (owner);
+    owner->answer = OWNER_LOST;
+  report_started_lost (owner);
   query_conclude (owner->query);
 }
 
@@ -324,11 +327,11 @@
   /* A restarted agent does not know what its former incarnation started. */
   if (hello->incarnation != owner->incarnation)
     {
-      owner_set_unreachable (owner);
+      owner_give_up (owner);
       return TRUE;
     }
   owner->lost_ms = 0;
-  owner->replies = query->parts->len;
+  owner->replies_expected = query->parts->len;
   for (guint i = 0; i < query->parts->len; i++)
     send_fence (owner, g_ptr_array_index (query->parts, i));
   return TRUE;
@@ -343,7 +346,7 @@
     return FALSE;
   g_clear_pointer (&owner->link, link_unref);
   if (end == LINK_REFUSED)
-    owner_set_unreachable (owner);
+    owner_give_up (owner);
   else if (owner->lost_ms == 0)
     owner->lost_ms = clock_now_ms ();
   return TRUE;
@@ -362,6 +365,7 @@
   return NULL;
 }
 
+/* A task is in one part of a query only, so the grant need not be compared. */
 static gboolean
 has_started_task (const QueryOwner *owner, const StartedTask *task)
 {
@@ -376,7 +380,7 @@
 }
 
 static void
-take_started (QueryOwner *owner, const Gw__FenceReply *reply)
+record_started (QueryOwner *owner, const Gw__FenceReply *reply)
 {
   Query *query = owner->query;
   JobKey key = message_job_key (reply->job);
@@ -405,8 +409,9 @@
 
   if (owner == NULL || reply->query != owner->query->id)
     return;
-  take_started (owner, reply);
-  if (owner->replies > 0 && --owner->replies == 0 && owner->answer == OWNER_PENDING)
+  record_started (owner, reply);
+  if (owner->replies_expected > 0 && --owner->replies_expected == 0
+      && owner->answer == OWNER_PENDING)
     {
       owner->answer = OWNER_ANSWERED;
       query_conclude (owner->query);
@@ -431,16 +436,17 @@
 owner_tick (QueryOwner *owner, gint64 now_ms)
 {
   Query *query = owner->query;
-  guint limit_ms = query->reconcile->init.limit_ms;
+  guint owner_timeout_ms = query->reconcile->init.limit_ms;
 
   drop_ended_tasks (owner);
-  if (owner->answer == OWNER_PENDING && now_ms - query->begun_ms > limit_ms)
+  if (owner->answer == OWNER_PENDING && now_ms - query->begun_ms > owner_timeout_ms)
     {
       log_warn ("agent of backend server %s did not answer", owner->name);
-      owner_set_unreachable (owner);
+      owner_give_up (owner);
     }
-  else if (owner->lost_ms > 0 && now_ms - owner->lost_ms > limit_ms)
-    owner_set_unreachable (owner);
+  else if (owner->lost_ms > 0 && now_ms - owner->lost_ms > owner_timeout_ms)
+    owner_give_up (owner);
+  /* The outcomes of the tasks that it started come over this link. */
   else if (owner->link == NULL && now_ms - owner->dialed_ms > REDIAL_MS
            && (owner->answer == OWNER_PENDING || owner->started->len > 0))
     owner_dial (owner);
@@ -477,7 +483,7 @@
 }
 
 guint
-reconcile_open (const Reconcile *reconcile)
+reconcile_open_queries (const Reconcile *reconcile)
 {
   const Query *query;
   guint n = 0;
--- a/src/reconcile.h
+++ b/src/reconcile.h
@@ -32,4 +32,4 @@
 void
 reconcile_fence_reply (Reconcile *reconcile, Link *link, const Gw__FenceReply *reply);
 void reconcile_tick (Reconcile *reconcile, gint64 now_ms);
-guint reconcile_open (const Reconcile *reconcile);
+guint reconcile_open_queries (const Reconcile *reconcile);
--- a/src/rendezvous.c
+++ b/src/rendezvous.c
@@ -12,9 +12,9 @@
 char *
 rendezvous_group (const char *service, const char *backend, guint groups)
 {
-  guint64 shard = groups > 1 ? XXH3_64bits (backend, strlen (backend)) % groups : 0;
+  guint64 number = groups > 1 ? XXH3_64bits (backend, strlen (backend)) % groups : 0;
 
-  return g_strdup_printf ("%s/%" G_GUINT64_FORMAT, service, shard);
+  return g_strdup_printf ("%s/%" G_GUINT64_FORMAT, service, number);
 }
 
 gboolean
--- a/src/runtimes.h
+++ b/src/runtimes.h
@@ -1,9 +1,10 @@
 #pragma once
-/* Learned run times of one service. The declared run time is only a label: tasks that
- * declare alike are expected to run as long as such tasks were observed to. */
+/* Learned run times of one service. A task's declared run time only selects a class; the
+ * expected run time is the mean observed in that class. */
 #include <glib.h>
 
-/* Classes of declared run times, by powers of two; class 0: none declared. */
+/* Class n: declared from 2^(n-1) to below 2^n ms; class 0: none declared; the last class
+ * also takes all longer ones. */
 #define RUNTIMES_CLASSES 20
 
 typedef struct
