--- a/tests/platform_scene.c
+++ b/tests/platform_scene.c
@@ -3,7 +3,7 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* The operator. */
+/* What the operator writes to the store. */
 
 static void
 append_route (GString *text, const char *name, const char *prefix)
@@ -104,8 +104,8 @@
              : scene->store->http;
 }
 
-/* With a line the other entries dial the last one, never the reverse, so that everything
- * sent to it goes over the line. */
+/* The line limits the bandwidth of everything sent to the last entry, together. The other
+ * entries dial it, never the reverse, so that all their frames to it go over the line. */
 static gboolean
 only_dials (const PlatformScene *scene, guint entry)
 {
@@ -183,7 +183,7 @@
   platform_introduce (scene, i);
 }
 
-/* Callers. */
+/* Requests of callers. */
 
 char *
 platform_job (const char *spec, guint tasks)
@@ -263,7 +263,8 @@
     relay_set_line (relay, RELAY_TO_TARGET, scene->line);
 }
 
-/* With a line: the last entry and those already started, each quoted. */
+/* The setting entries.peers: with a line the last entry and those already started, each
+ * quoted; else none. */
 static char *
 format_peers (const PlatformScene *scene, guint entry)
 {
@@ -282,7 +283,7 @@
 platform_scene_open (PlatformScene *scene, const PlatformInit *init)
 {
   const char *store[] = { STORE_EXE, NULL };
-  char zone[] = "z\0\0";
+  char zone[] = "z\0\0"; /* room for a digit */
   const char *server[] = { SERVER_EXE, "4000", zone, NULL };
 
   memset (scene, 0, sizeof *scene);
@@ -316,8 +317,7 @@
       g_free (name);
     }
   if (init->configured)
-    harness_wait (scene->harness, platform_is_ready, scene,
-                  "all servers serve all entries");
+    harness_wait (scene->harness, platform_is_ready, scene, "a job that fills all slots");
 }
 
 void
@@ -344,11 +344,11 @@
 typedef struct
 {
   gint64 at_ms;
-  gboolean starts;
+  gboolean is_start;
   guint server;
   guint line; /* in its server's log */
   char *task;
-  char *how;
+  char *kind; /* first word of its line */
   char *run;
 } RunEvent;
 
@@ -358,7 +358,7 @@
   RunEvent *event = data;
 
   g_free (event->task);
-  g_free (event->how);
+  g_free (event->kind);
   g_free (event->run);
 }
 
@@ -370,10 +370,11 @@
 
   if (left->at_ms != right->at_ms)
     return left->at_ms < right->at_ms ? -1 : 1;
-  /* One server's log is in order; between servers, ends sort before starts. */
+  /* One server's log is in order. Between servers ends sort before starts: a run that
+   * ends and is started elsewhere within one ms does not overlap. */
   if (left->server == right->server)
     return left->line < right->line ? -1 : 1;
-  return left->starts - right->starts;
+  return left->is_start - right->is_start;
 }
 
 static void
@@ -386,13 +387,14 @@
     {
       char **words = g_strsplit (*line, " ", 4);
       RunEvent event = { .at_ms = g_ascii_strtoll (words[1], NULL, 10),
-                         .starts = strcmp (words[0], "start") == 0,
+                         .is_start = strcmp (words[0], "start") == 0,
                          .server = i,
                          .line = (guint)(line - lines),
                          .task = g_strdup (words[2]),
-                         .how = g_strdup (words[0]),
+                         .kind = g_strdup (words[0]),
                          .run = g_strdup (words[3]) };
 
+      /* Logged by a server that runs more than its capacity. */
       g_assert_cmpstr (words[0], !=, "OVER-CAPACITY");
       g_array_append_val (events, event);
       g_strfreev (words);
@@ -410,7 +412,7 @@
 
       if (strcmp (event->task, task) == 0)
         g_printerr ("%s %s at %" G_GINT64_FORMAT " on server %u, run %s\n", task,
-                    event->how, event->at_ms, event->server, event->run);
+                    event->kind, event->at_ms, event->server, event->run);
     }
 }
 
@@ -423,7 +425,7 @@
     {
       const RunEvent *event = &g_array_index (events, RunEvent, i);
 
-      if (!event->starts)
+      if (!event->is_start)
         {
           g_hash_table_remove (running, event->task);
           continue;
@@ -451,9 +453,9 @@
     {
       const RunEvent *event = &g_array_index (events, RunEvent, i);
 
-      starts += event->starts;
+      starts += event->is_start;
       if (each != NULL)
-        each (event->starts, event->task, event->how, ctx);
+        each (event->is_start, event->task, event->kind, ctx);
     }
   g_array_unref (events);
   return starts;
@@ -471,7 +473,7 @@
     {
       const RunEvent *event = &g_array_index (events, RunEvent, i);
 
-      starts += event->starts && event->at_ms >= from_ms && event->at_ms < until_ms;
+      starts += event->is_start && event->at_ms >= from_ms && event->at_ms < until_ms;
     }
   g_array_unref (events);
   return starts;
--- a/tests/platform_scene.h
+++ b/tests/platform_scene.h
@@ -69,7 +69,8 @@
 gboolean platform_serves (const PlatformScene *scene, const char *prefix);
 gboolean platform_serves_at (const PlatformScene *scene, guint entry, const char *prefix);
 
-/** platform_job - Return: the body of a job; free with g_free (). */
+/** platform_job - Return: the body of a job; free with g_free ().
+ * @spec: what the stand-in server does: run for so many ms, or "fail:N" to fail then. */
 char *platform_job (const char *spec, guint tasks);
 
 /** platform_call - send @body as job @number to an entry. */
@@ -83,9 +84,9 @@
 /** platform_is_ready - for harness_wait (): whether a job of many tasks completes now. */
 gboolean platform_is_ready (gpointer scene);
 
-typedef void (*PlatformRunFunc) (gboolean starts,
+typedef void (*PlatformRunFunc) (gboolean is_start,
                                  const char *task,
-                                 const char *how,
+                                 const char *kind,
                                  gpointer ctx);
 
 /**
--- a/tests/test-platform.c
+++ b/tests/test-platform.c
@@ -1,4 +1,5 @@
-/* The platform's daemons among stand-ins, one sequence of events per case. */
+/* The platform's daemons with stand-ins of the store and the backend servers, one
+ * sequence of events per case. */
 #include "cases.h"
 #include "explain.h"
 #include "platform_scene.h"
@@ -38,7 +39,8 @@
   return found;
 }
 
-/* Waits until a task of the last job has started somewhere. */
+/* Whether the first run of the last job's first task is in a server's log, which names it
+ * job.step.task.run. */
 static gboolean
 last_job_started (gpointer ctx)
 {
@@ -139,11 +141,11 @@
   harness_fault (scene->harness, scene->store, "forget");
   platform_put_config (scene, PLATFORM_PREFIX);
   harness_wait (scene->harness, platform_is_ready, scene,
-                "the configuration after lost history");
+                "the configuration after the store lost its history");
 }
 
-/* A restarted entry refused its callers while the store was down, the only source of the
- * configuration. */
+/* A restarted entry gets the configuration from the other entry while the store, the only
+ * other source, is down; otherwise it refuses its callers. */
 static void
 configuration_comes_from_the_other_entry (PlatformScene *scene)
 {
@@ -155,6 +157,7 @@
   scene->entries[0] = platform_start_entry (scene, 0, peers);
   g_free (peers);
   harness_wait_page (scene->harness, scene->entries[0]->ready_address, "/ready", "{}");
+  /* 503 without a configuration. */
   expect (scene, platform_start_job (scene, 0, "x", 0), 400, "error");
 }
 
@@ -171,8 +174,8 @@
   expect (scene, exchange, 200, "completed");
 }
 
-/* A job ran twice at once: its entry was killed, the caller resent it to another entry
- * 1.3 s later, and the agents had not stopped the first runs. */
+/* The agents stop the runs of a killed entry before its caller resends the job to another
+ * entry; otherwise the job runs twice at once. */
 static void
 killed_entry_leaves_nothing_running (PlatformScene *scene)
 {
@@ -209,8 +212,9 @@
   harness_fault (scene->harness, scene->servers[0], "ok");
 }
 
-/* A task ran twice at once, two seconds apart: the agent gave up an unanswered start
- * without proof that it could not run any more, and the server executed it late. */
+/* An agent gives up an unanswered start only with proof that it can no longer run. The
+ * server carries starts out two seconds late; without the proof the task runs twice at
+ * once. */
 static void
 late_orders_are_harmless (PlatformScene *scene)
 {
@@ -248,8 +252,8 @@
   g_free (text);
 }
 
-/* An orderly end was logged six times: while the process flushed its last frames, each
- * tick found it ended anew. */
+/* An orderly end is logged once, not anew with each tick while the process flushes its
+ * last frames. */
 static void
 expect_one_stop (const Process *process)
 {
@@ -265,8 +269,8 @@
   g_free (path);
 }
 
-/* A rolling restart cut callers off: on SIGTERM an entry with an open job exited before
- * the response. */
+/* On SIGTERM an entry answers its open jobs before it exits; otherwise a rolling restart
+ * cuts callers off. */
 static void
 terminated_entry_answers_first (PlatformScene *scene)
 {
@@ -363,12 +367,12 @@
                                        "status=503",
                                        "more urgent work takes all room",
                                        NULL };
-  Exchange *longs = platform_start_job (scene, 0, "1500", 8);
+  Exchange *long_job = platform_start_job (scene, 0, "1500", 8);
 
   harness_wait (scene->harness, last_job_started, scene, "a start");
   expect (scene, platform_start_job (scene, 0, "1500", 40), 503, NULL);
   expect_trace (scene, parts);
-  expect (scene, longs, 200, "completed");
+  expect (scene, long_job, 200, "completed");
 }
 
 static void
@@ -408,13 +412,13 @@
   void (*play) (PlatformScene *scene);
 } Case;
 
-/* Malformed reports to an agent and rows in the store ended all tasks of a server or
- * crashed a process: missing members were read as 0 or empty, an unknown id as a new
- * instance. */
+/* Malformed reports to an agent are refused and malformed rows in the store ignored.
+ * Otherwise they end all tasks of a server or crash a process: missing members are read
+ * as 0 or empty, an unknown id as a new instance. */
 static void
 bad_writers_change_nothing (PlatformScene *scene)
 {
-  static const char unnamed_state[]
+  static const char unknown_state[]
       = "{\"service\":\"exchange\",\"zone\":\"a\",\"address\":\"x\",\"state\":\"odd\","
         "\"clock_ms\":1,\"seq\":99,\"capacity\":{\"cpu\":1,\"mem_mb\":1}}";
   static const char *const reports[] = { "{}",
@@ -422,8 +426,9 @@
                                          "{",
                                          "\xff\xfe",
                                          "{\"state\":7,\"service\":[]}",
-                                         unnamed_state,
+                                         unknown_state,
                                          "{\"capacity\":{\"cpu\":-1}}" };
+  /* Empty, not base64, not UTF-8, and the text "not an address". */
   static const char *const values[] = { "", "####", "//7+", "bm90IGFuIGFkZHJlc3M=" };
   Exchange *running = platform_start_job (scene, 0, "600", 8);
 
