--- a/tests/home_scene.h
+++ b/tests/home_scene.h
@@ -43,7 +43,8 @@
 /** scene_grant - the holder grants a job of @n tasks, as grant 1. */
 void scene_grant (Scene *scene, guint n);
 
-/** scene_grant_and_finish - one frame with the same grant and the job's final ack. */
+/** scene_grant_and_finish - one frame with the grant of scene_grant () and the job's
+ * final ack. */
 void scene_grant_and_finish (Scene *scene, guint n);
 
 /** scene_owner_reports - pass the home an outcome from the slot owner. */
--- a/tests/test-platform.c
+++ b/tests/test-platform.c
@@ -39,8 +39,7 @@
   return found;
 }
 
-/* Whether the first run of the last job's first task is in a server's log, which names it
- * job.step.task.run. */
+/* Whether a start of the last job's first task, JOB.0.0.0, is in the log of a server. */
 static gboolean
 last_job_started (gpointer ctx)
 {
