--- a/tests/test-properties.cc
+++ b/tests/test-properties.cc
@@ -269,7 +269,7 @@
           QueueJob *job = running[choice % running.size ()];
 
           running.erase (running.begin () + choice % running.size ());
-          queue_finished (queue, job, action == 3);
+          queue_release (queue, job, action == 3);
           waiting += action == 3;
         }
       RC_ASSERT (queue_waiting (queue) == waiting);
