--- a/src/callers.c
+++ b/src/callers.c
@@ -278,6 +278,7 @@
   return wait;
 }
 
+/* Valid requests that no worker can hold are answered 422, all other faults 400. */
 static gboolean
 only_size_faults (const Findings *findings)
 {
--- a/src/callers_keys.c
+++ b/src/callers_keys.c
@@ -1,5 +1,6 @@
 #define LOG_MODULE "callers"
-/* Repeated keys, and jobs held by other entries: the holder is asked. */
+/* Requests with a key used before, and for jobs held by other entries: both are answered
+ * by the job's holder. */
 #include "answers.h"
 #include "callers_parts.h"
 #include "http.h"
@@ -10,7 +11,7 @@
 #include <sys/queue.h>
 
 #define FORWARD_TIMEOUT_MS 3600000
-#define FORWARD_CONNECTIONS 64
+#define FORWARD_CONNECTIONS 64 /* per entry */
 
 static HttpPool *
 pool_for (Callers *callers, const char *address)
--- a/src/claims.c
+++ b/src/claims.c
@@ -8,7 +8,7 @@
 #define ROW_PREFIX "keys/"
 #define ROW_TTL_S 86400
 #define BATCH_MAX 256
-#define READ_DELAY_MS 100
+#define READ_DELAY_MS 100 /* before a claim's row is read back */
 
 typedef struct Claim
 {
@@ -18,8 +18,8 @@
   char *value;
   JobKey job;
   gboolean takes_over;
-  JobKey instead_of;
-  gint64 if_version;
+  JobKey instead_of; /* the job to take over from, if takes_over */
+  gint64 if_version; /* condition of the write; 0: the row must not exist */
   struct event *read_timer;
   struct event *timeout;
   gboolean queued;  /* in claims->waiting */
--- a/src/config.c
+++ b/src/config.c
@@ -10,6 +10,8 @@
 
 #define ROW_KEY "config/current"
 #define CHANGE_TRIES 8
+/* If the row cannot be read for this long after an unanswered write, the change ends as
+ * uncertain. */
 #define READBACK_LIMIT_MS 6000
 #define RETRY_MS 100
 /* An accepted change is acknowledged after this time even if linked peers lack it. */
--- a/src/entry.c
+++ b/src/entry.c
@@ -8,10 +8,10 @@
 
 #define PROTOCOL_VERSION 1
 #define TICK_MS 20
-#define LOADS_MS 500
+#define LOADS_MS 500 /* between reports of the groups' load */
 #define BACKENDS_TICK_MS 100
-#define CLAIM_LIMIT_MS 3000
-#define EXIT_DELAY_MS 100 /* to send the final frames and delete the own row */
+#define CLAIM_LIMIT_MS 3000 /* then the keyed request is refused */
+#define EXIT_DELAY_MS 100   /* to send the final frames and delete the own row */
 
 /* Frame listener. */
 
--- a/src/entry_ops.c
+++ b/src/entry_ops.c
@@ -291,7 +291,8 @@
   Entry *entry = ctx;
 
   home_backend_moved (entry->home, backend);
-  /* Also sends the group, whose rendezvous ranking the agent uses to choose its links. */
+  /* The frame also carries the new group, by whose rendezvous ranking the agent chooses
+   * its links. */
   if (backend->link != NULL)
     members_send_entries (entry->members, backend->link);
 }
--- a/src/entry_parts.h
+++ b/src/entry_parts.h
@@ -52,8 +52,8 @@
   gint64 loads_sent_ms;
   gint64 backends_ticked_ms;
   gboolean ranking_changed;
-  gint64 draining_ms; /* start of draining; 0: not draining */
-  gboolean row_dropped;
+  gint64 draining_ms;   /* start of draining; 0: not draining */
+  gboolean row_dropped; /* the own row is deleted; about to exit */
 };
 
 extern const LinkOps entry_link_ops;
--- a/src/holder.c
+++ b/src/holder.c
@@ -9,6 +9,7 @@
 
 /* A job whose homes have not reported what ran by then is answered "may have run". */
 #define ENDING_TIMEOUT_MS 300
+/* Callers can fetch the answer of an ended job at most this long. */
 #define RETAIN_MS 120000
 #define ABANDONED_TTL_MS 3600000
 
--- a/src/holder.h
+++ b/src/holder.h
@@ -21,13 +21,14 @@
   JOB_CANCELLED,
 } JobState;
 
+/* The tasks of a job under one grant. */
 typedef struct HeldPart HeldPart;
 
 typedef struct
 {
   char *service;
   GBytes *payload;
-  guint declared_ms;
+  guint declared_ms; /* expected run time, by the caller; 0: not declared */
   guint memory_mb;
 } TaskSpec;
 
@@ -53,18 +54,18 @@
   gboolean idempotent;
   GPtrArray *specs; /* of TaskSpec */
   GPtrArray *tasks; /* of HeldTask */
-  guint open;
+  guint open;       /* tasks that have not ended */
   guint retries;
-  guint32 grants;
+  guint32 grants; /* number of the last grant */
   gint64 arrived_ms;
   gint64 deadline_ms;
-  gint64 ending_ms;
+  gint64 ending_ms; /* start of JOB_ENDING */
   gint64 ended_ms;
   gboolean started; /* a task started, or may have */
   int failed_index; /* of the task that failed the job, or -1 */
   Gw__Outcome__Reason reason;
   guint retry_after_s;
-  gsize answer_bytes;
+  gsize answer_bytes; /* retained once ended */
   LIST_HEAD (, HeldPart) parts;
   GPtrArray *waiters; /* of JobWaiter */
 } HeldJob;
@@ -134,6 +135,8 @@
 
 /** holder_home_up - resend the open grants, which the former link may have lost. */
 void holder_home_up (Holder *holder, guint64 home);
+
+/** holder_home_lost - start to reconcile the open tasks of a home declared dead. */
 void holder_home_lost (Holder *holder, guint64 home);
 
 /** HeldPartFunc - @indexes: the open tasks of the part. */
--- a/src/holder_groups.c
+++ b/src/holder_groups.c
@@ -2,6 +2,7 @@
 /* Load of the groups as their homes report it; choice among a service's groups. */
 #include "holder_parts.h"
 
+/* A random group among equal waits; one without known slots comes last. */
 const char *
 holder_choose_group (Holder *holder, const char *service, char **chosen)
 {
--- a/src/holder_outcomes.c
+++ b/src/holder_outcomes.c
@@ -10,8 +10,9 @@
 #include <string.h>
 
 #define REGRANT_DELAY_MS 50
+/* Answers of ended jobs; the oldest jobs are dropped first. */
 #define RETAIN_BYTES_MAX (24u << 20)
-#define RETRIES_MAX 2
+#define RETRIES_MAX 2 /* of a direct request */
 
 static void
 retain_job (Holder *holder, HeldJob *job)
@@ -22,7 +23,7 @@
     holder_drop_ended (holder, TAILQ_FIRST (&holder->ended));
 }
 
-/* Tells the homes that nothing of the job is needed any more. */
+/* The homes may forget the job. */
 static void
 ack_homes (Holder *holder, HeldJob *job)
 {
@@ -189,7 +190,7 @@
                                   fleet_service (fleet, part->service)->groups);
 }
 
-/* Tasks that a home handed back share a new grant. */
+/* Tasks of one service that are granted again share a new grant. */
 static HeldPart *
 regrant_part (Holder *holder, HeldJob *job, const HeldPart *from)
 {
--- a/src/link.c
+++ b/src/link.c
@@ -10,7 +10,7 @@
 #include <event2/bufferevent.h>
 #include <netinet/tcp.h>
 
-#define FRAME_MAX (16u << 20)
+#define FRAME_MAX (16u << 20) /* bytes */
 #define CONNECT_TIMEOUT_MS 1000
 
 static const char *const end_names[]
--- a/src/members.c
+++ b/src/members.c
@@ -7,11 +7,12 @@
 #include <string.h>
 
 #define TICK_MS 100
-/* A lost link is redialed at once; if not up again after this, the entry is lost. */
+/* A lost link is redialed at once; if not up again after this, the entry is declared
+ * lost. */
 #define SUSPECT_MS 1000
 #define REDIAL_MS 500
 #define REDIAL_DOWN_MS 2000
-#define FORGET_MS 120000
+#define FORGET_MS 120000 /* after its loss and the last change of its row */
 /* Links that come up this close together count as crossed dials. */
 #define SIMULTANEOUS_MS 1000
 
--- a/src/members_rank.c
+++ b/src/members_rank.c
@@ -11,8 +11,8 @@
          && !member->draining;
 }
 
-/* The best-ranked candidate except @except; NULL is this entry itself. *found is FALSE if
- * there is none. */
+/* Return: the candidate with the highest rendezvous score, @except left out; NULL: this
+ * entry itself, or none if *found is FALSE. */
 static Member *
 best_ranked (Members *members,
              const char *group,
--- a/src/members_rows.c
+++ b/src/members_rows.c
@@ -8,7 +8,7 @@
 
 #define ROW_PREFIX "entries/"
 #define ROW_TTL_S 60
-/* The entry of a row not refreshed for this long has exited. */
+/* A row not refreshed for this long is ignored: its entry has probably exited. */
 #define ROW_STALE_MS 35000
 
 static char *
--- a/src/table.c
+++ b/src/table.c
@@ -5,6 +5,7 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
+/* Limits of calls in flight. */
 #define MAX_WRITES 4
 /* Reads have connections of their own: on a slow table, many key claims would otherwise
  * keep the entry from reading a new configuration. */
--- a/src/table_calls.c
+++ b/src/table_calls.c
@@ -8,7 +8,7 @@
 
 /* Timeout between two pieces of a response: a lost packet is retransmitted after about a
  * second. */
-#define SILENCE_MS 1500
+#define READ_TIMEOUT_MS 1500
 /* Largest random delay of a repeat, as a divisor of the timeout. */
 #define JITTER_DIVISOR 4
 
@@ -124,7 +124,7 @@
                             .headers = call->body != NULL ? json_headers : NULL,
                             .body = call->body,
                             .first_byte_timeout_ms = calls->limit_ms,
-                            .read_timeout_ms = SILENCE_MS };
+                            .read_timeout_ms = READ_TIMEOUT_MS };
 
   TAILQ_REMOVE (&calls->queued, call, link);
   TAILQ_INSERT_TAIL (&calls->active, call, link);
