--- a/tests/test-answers.c
+++ b/tests/test-answers.c
@@ -266,7 +266,7 @@
   const char *headers[] = { "X-Idempotent", c->idempotent, NULL };
   Exchange *exchange;
 
-  /* Fill the retry budget: a tenth of the first attempts. */
+  /* Each first attempt adds a tenth of a retry to the budget. */
   for (guint i = 0; i < 40; i++)
     exchange_free (harness_post (harness, entry, "/v1/services/exchange", "0:fill"));
   harness_fault (harness, harness_backend (harness, 0), "drop");
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -7,10 +7,10 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* Required bound for the whole fleet; the measured time is printed. */
+/* Maximum time until a change is in force on every entry. */
 #define IN_FORCE_LIMIT_MS 13000
 #define TABLE_WRITES 8
-/* Between the few ms of a read and the 1.5 s of a late write. */
+/* A read takes a few ms, unless it waits for a write, which takes 1.5 s. */
 #define READ_LIMIT_MS 500
 
 static Exchange *
--- a/tests/test-keys.c
+++ b/tests/test-keys.c
@@ -7,8 +7,9 @@
 
 #define KEYED "\"key\":\"claim-7\",\"team\":\"food-bank\","
 
-/* Long enough for the timeouts of table calls to have grown to their maximum. */
+/* Long enough for an exponential backoff of table calls to reach its maximum. */
 #define HANG_MS 8000
+/* The request during the hang is sent this long before the table recovers. */
 #define CALL_TO_RECOVERY_MS 50
 /* Maximum answer time of keyed requests once the table is back. */
 #define ANSWERED_MAX_MS 2000
--- a/tests/test-path.c
+++ b/tests/test-path.c
@@ -207,12 +207,12 @@
   g_free (body);
 }
 
-#define REGROUP_JOBS 4 /* per entry and phase, of three */
+#define REGROUP_JOBS 4 /* per entry, in each of three phases */
 #define REGROUP_TASKS 20
 
-/* A server's group used to be set only when it linked: when the number of groups was
- * raised and lowered under load, servers stayed in their old group until restarted, and
- * jobs hung in the queue of a group without servers. */
+/* Servers must change groups when the number of groups is raised and lowered under load.
+ * If a server's group is set only when it links, jobs hang in the queue of a group
+ * without servers. */
 static void
 test_regroup_under_load (void)
 {
@@ -271,7 +271,7 @@
   harness_free (harness);
 }
 
-/* A job cancelled while the first of its three tasks ran used to be answered "not run":
+/* A job cancelled while the first of its three tasks runs must not be answered "not run":
  * the holder knows only what it granted, and its home what was sent to slot owners. */
 static void
 test_cancel_running (void)
