--- a/src/members.c
+++ b/src/members.c
@@ -8,7 +8,7 @@
 
 #define TICK_MS 100
 /* A lost link is redialed at once; if not up again after this, the entry is declared
- * lost. */
+ * dead. */
 #define SUSPECT_MS 1000
 #define REDIAL_MS 500
 #define REDIAL_DOWN_MS 2000
