--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -7,10 +7,10 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* Required bound for the whole fleet; the measured time is printed. */
+/* Maximum time until a change is in force on every entry. */
 #define IN_FORCE_LIMIT_MS 13000
 #define TABLE_WRITES 8
-/* Between the few ms of a read and the 1.5 s of a late write. */
+/* A read takes a few ms, unless it waits for a write, which takes 1.5 s. */
 #define READ_LIMIT_MS 500
 
 static Exchange *
@@ -163,7 +163,8 @@
   harness_free (harness);
 }
 
-#define SLOW_TABLE_ADAPTS_MS 3000
+/* The entry polls the slow table this long before the change. */
+#define SLOW_TABLE_MS 3000
 
 /* A table that answers after 700 ms, with table.timeout_ms = 400: if each read is aborted
  * at the timeout and started again, no change is ever accepted or seen. */
@@ -175,7 +176,7 @@
   Harness *harness = harness_new (&init);
 
   harness_fault (harness, harness->platform, "slow");
-  harness_run_ms (harness, SLOW_TABLE_ADAPTS_MS);
+  harness_run_ms (harness, SLOW_TABLE_MS);
   accepted (harness, change (harness, 0, "team.a.weight", "2", NULL));
   harness_free (harness);
 }
