--- a/standins/backend.c
+++ b/standins/backend.c
@@ -19,7 +19,7 @@
 
 #define ANNOUNCE_MS 1000
 #define SLOW_FACTOR 4
-#define BIG_MAX (64u << 20)
+#define BIG_MAX (64u << 20) /* bytes */
 
 typedef enum
 {
--- a/standins/server.c
+++ b/standins/server.c
@@ -5,9 +5,9 @@
  *
  * GET /runs returns all starts and ends, one "start|HOW MILLISECONDS TASK RUN" per line.
  * POST /faults?mode=MODE sets the fault mode: "ok"; "mute" (no responses to orders, no
- * heartbeats); "late" (orders are executed after two seconds and not answered); "hang"
- * (tasks make no progress); "shrink" (half the capacity); "restart" (a new instance);
- * "drain" and "leave". */
+ * heartbeats); "late" (start and stop orders are executed after LATE_MS and not
+ * answered); "hang" (tasks make no progress); "shrink" (half the capacity); "restart" (a
+ * new instance); "drain" and "leave". */
 #include "clock.h"
 #include "http.h"
 #include "listen.h"
@@ -19,10 +19,10 @@
 #include <string.h>
 
 #define TICK_MS 5
-#define STOP_MS 20
+#define STOP_MS 20 /* from the stop order to the end of the task */
 #define LATE_MS 2000
 #define HEARTBEAT_MS 300
-#define TASK_CPU 1000
+#define TASK_CPU 1000 /* thousandths of a core */
 #define LONG_POLL_MAX_MS 2000
 #define DOWN_MS 500 /* after a crash */
 /* Starts sent before the agent received a smaller capacity may still arrive. */
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -104,7 +104,7 @@
 /** process_kill - send SIGKILL and wait for the exit. */
 void process_kill (Harness *harness, Process *process);
 
-/** process_wait - wait for the exit. Return: the exit code. */
+/** process_wait - wait for the exit. Return: 0; the exit code is not collected. */
 int process_wait (Harness *harness, Process *process);
 
 /** process_restart - start it again with the same command line; ports change. */
@@ -145,7 +145,7 @@
                    const char *what);
 void harness_wait_exchange (Harness *harness, Exchange *exchange);
 
-/** harness_assert_within - at most @most_ms have passed since @since_ms; prints the time.
+/** harness_assert_within - at most @max_ms have passed since @since_ms; prints the time.
  */
 void harness_assert_within (gint64 since_ms, gint64 max_ms);
 
--- a/tests/harness_http.c
+++ b/tests/harness_http.c
@@ -222,8 +222,6 @@
   return counts;
 }
 
-/* Prints what the running processes know of a task that was started twice, which could
- * not be traced otherwise. */
 static void
 print_pages (Harness *harness, GPtrArray *processes, const char *path)
 {
@@ -240,6 +238,8 @@
     }
 }
 
+/* Prints what the running processes know of a task that was started twice, which could
+ * not be traced otherwise. */
 static void
 print_traces (Harness *harness, const char *task)
 {
--- a/tests/lease_server.c
+++ b/tests/lease_server.c
@@ -11,7 +11,7 @@
 typedef struct
 {
   RunKey key;
-  gint64 ends; /* server's clock; put off while it hangs */
+  gint64 ends; /* server's clock; postponed while it hangs */
   gint64 length;
   gint64 stops_at; /* 0: not being stopped */
 } Task;
@@ -50,7 +50,7 @@
   gint64 clock_start;
   guint64 sequence;
   guint64 token;
-  gint64 lease;
+  gint64 lease;       /* its end, on the server's clock */
   guint64 last_end;   /* number of the last EndedRun */
   GArray *tasks;      /* of Task */
   GArray *ended;      /* of EndedRun */
--- a/tests/lease_sim.c
+++ b/tests/lease_sim.c
@@ -15,7 +15,7 @@
 #define END_MS 52000
 /* No request sent this long after the last fault may be given up. */
 #define RECOVERY_MS 4000
-#define CAPACITY 4000
+#define CAPACITY 4000 /* thousandths of a core, per backend server */
 #define CALLER_TIMEOUT_MS 4000
 #define MAX_REQUESTS 6
 
@@ -88,7 +88,7 @@
   gint64 send_at; /* 0: no request is due */
   gboolean ended;
   gboolean started;
-  gboolean only_refusals;
+  gboolean only_refusals; /* no request was lost, abandoned or given up */
   CallerRequest requests[MAX_REQUESTS];
   guint n_requests;
   LeaseSim *sim;
@@ -543,8 +543,8 @@
                         message->reports->len, message->inventory, now);
 }
 
-/* A node that was frozen finds old frames; the link's timeout closes it and drops them.
- */
+/* Frames that arrived while a node was frozen must not be read late: the link has timed
+ * out, and closing it drops them. */
 static gboolean
 is_stale (SimLink *link, gboolean at_agent)
 {
--- a/tests/test-crashes.c
+++ b/tests/test-crashes.c
@@ -136,7 +136,8 @@
   g_free (body);
 }
 
-/* Backend servers restart again and again for other reasons: no task is blamed. */
+/* Tasks that ran on backend servers which restart for other reasons must not be given up
+ * as crashing. */
 static void
 unrelated_restarts (Scenario *scenario)
 {
--- a/tests/test-silence.c
+++ b/tests/test-silence.c
@@ -13,7 +13,8 @@
 #define ROUTES 1600
 #define LINE_BYTES_PER_S 1000000
 #define LINE_MS 400
-/* The slow store responds after 1 s: after BEFORE_ANSWER_MS, within ANSWERED_MS more. */
+/* The slow store responds after 1 s: later than BEFORE_ANSWER_MS, but within ANSWERED_MS
+ * after that. */
 #define BEFORE_ANSWER_MS 300
 #define ANSWERED_MS 900
 /* Target for writing an entry's row to the store and for reading its peers' rows. */
@@ -72,7 +73,7 @@
                                     { "4-s", 4000, TRUE },
                                     { "8-s", 8000, TRUE } };
 
-/* A read that hangs since before the store's return must not delay the next version. */
+/* A read begun before the store responds again must not delay the next version. */
 static void
 test_configuration (gconstpointer data)
 {
@@ -191,7 +192,7 @@
   platform_scene_close (&scene);
 }
 
-/* A write that hangs since before the store's return must not delay the next one. */
+/* A write begun before the store responds again must not delay the next one. */
 static void
 test_row (gconstpointer data)
 {
--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -1,14 +1,12 @@
 /* Propagation of a configuration to all entries, the last one behind a slow link.
  *
- * Guards against a failure with large configurations, 1,400 routes added three times:
- * entries with a link of 25 Mbit/s got a version more than 3 s after the store confirmed
- * it, callers got old routes or no response, and large entries were killed for their
- * memory use. Two causes reinforced each other. Entries sent the whole configuration in
+ * Guards against two faults seen with 1,400 routes added three times: over links of
+ * 25 Mbit/s a version took more than 3 s, callers got old routes or no response, and
+ * large entries were killed for their memory use. Entries sent the whole configuration in
  * reply to each heartbeat with an older version, even with a copy in flight: 272 MB from
- * one entry in 15 s where 14 MB were needed ("bytes_sent"), and 1 to 245 MB queued in the
- * sender's memory ("process_rss_kb") ahead of later versions. And reads of the store
- * timed out 0.8 s after their start, whatever had arrived: in 55 s, 1 succeeded
- * ("table_reads") and 40 failed ("table_errors"). */
+ * one entry in 15 s where 14 MB were needed, and 1 to 245 MB queued in its memory ahead
+ * of later versions. And reads of the store timed out 0.8 s after their start, whatever
+ * had arrived: in 55 s, 1 succeeded and 40 failed. */
 #include "cases.h"
 #include "clock.h"
 #include "config_pull.h"
@@ -25,7 +23,7 @@
 #define APPLIED_MS 3000
 /* By then the other entries have sent a frame with their new version. */
 #define VERSION_SENT_MS 150
-#define FROZEN 2
+#define FROZEN 2 /* peers stopped */
 /* Target if the store and the first peers chosen are unresponsive. */
 #define FROZEN_PEERS_MS 2000
 /* Delay of each response of the store stand-in with the fault "slow". */
@@ -107,9 +105,8 @@
   harness_assert_within (started_ms, APPLIED_MS + SLOW_STORE_MS);
 }
 
-/* A restarted entry refused callers that it could have served a second later: requests
- * waited only 0.5 s for the configuration, although it was arriving; it takes the line
- * 1.7 s. */
+/* Requests to a restarted entry must wait while the configuration is arriving, which
+ * takes the line 1.7 s. They were refused after 0.5 s. */
 static void
 restart_with_a_large_version (PlatformScene *scene)
 {
--- a/tests/test-zones.c
+++ b/tests/test-zones.c
@@ -229,8 +229,7 @@
   return refused;
 }
 
-/* With all zones closed, callers waited until their deadline; they must be refused at
- * once. */
+/* With all zones closed, callers must be refused at once, not at their deadline. */
 static void
 test_all_closed (void)
 {
