--- a/tests/test-hedge.c
+++ b/tests/test-hedge.c
@@ -56,7 +56,7 @@
 
   attempt->begun_ms = now;
   attempt->answered_ms = answer_time (outage, now, wait_ms);
-  attempt->timeout_ms = now + wait_ms + STORE_PATIENCE_MS;
+  attempt->timeout_ms = now + wait_ms + STORE_FIRST_BYTE_TIMEOUT_MS;
   reader->view.progress_ms = now + wait_ms;
   reader->view.jitter = g_rand_double (reader->random);
   reader->in_flight = MAX (reader->in_flight, reader->view.attempts);
