--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -1,12 +1,12 @@
 /* Propagation of a configuration to all entries, the last one behind a slow link.
  *
- * Guards against two faults seen with 1,400 routes added three times: over links of
- * 25 Mbit/s a version took more than 3 s, callers got old routes or no response, and
- * large entries were killed for their memory use. Entries sent the whole configuration in
- * reply to each heartbeat with an older version, even with a copy in flight: 272 MB from
- * one entry in 15 s where 14 MB were needed, and 1 to 245 MB queued in its memory ahead
- * of later versions. And reads of the store timed out 0.8 s after their start, whatever
- * had arrived: in 55 s, 1 succeeded and 40 failed. */
+ * Guards against two faults that reinforced each other, with 1,400 routes added three
+ * times: over links of 25 Mbit/s a version took more than 3 s, callers got old routes or
+ * no response, and large entries were killed for their memory use. Entries sent the whole
+ * configuration in reply to each heartbeat with an older version, even with a copy in
+ * flight: 272 MB from one entry in 15 s where 14 MB were needed, and 1 to 245 MB queued
+ * in its memory ahead of later versions. And reads of the store timed out 0.8 s after
+ * their start, whatever had arrived: in 55 s, 1 succeeded and 40 failed. */
 #include "cases.h"
 #include "clock.h"
 #include "config_pull.h"
