--- a/src/home.c
+++ b/src/home.c
@@ -2,7 +2,7 @@
 #include "counters.h"
 #include "home_parts.h"
 
-/* Dropped jobs are kept, so that a repeated grant of them is not taken for a new one. */
+/* Orphaned jobs are kept, so that a repeated grant of one is not taken for a new job. */
 #define ORPHAN_LIFETIME_MS 300000
 #define SWEEP_MS 1000
 #define RESEND_MS 10000
--- a/src/home.h
+++ b/src/home.h
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  /* Send an outcome to the holder. @outcome stays the home's. */
+  /* Send an outcome to the holder; does not take @outcome. */
   void (*outcome) (guint64 holder, const Gw__Outcome *outcome, gpointer ctx);
   /* Whether a frame of the holder was received within its lease. */
   gboolean (*holder_alive) (guint64 holder, gpointer ctx);
@@ -26,7 +26,7 @@
 typedef struct
 {
   struct event_base *base;
-  guint lease_ms; /* of a start, from its receipt */
+  guint lease_ms; /* of a start, counted from its receipt by the slot owner */
   guint64 incarnation;
 } HomeInit;
 
@@ -73,7 +73,7 @@
 /** home_set_leaving - hand new grants back to their holders. */
 void home_set_leaving (Home *home);
 
-/** home_ranking_changed - hand back what waits for groups that have another home now. */
+/** home_ranking_changed - hand back waiting tasks whose group has another home now. */
 void home_ranking_changed (Home *home);
 void home_tick (Home *home, gint64 now_ms);
 
--- a/src/home_outcomes.c
+++ b/src/home_outcomes.c
@@ -234,7 +234,7 @@
 static void
 ack_whole_job (Home *home, const JobKey *key)
 {
-  /* A job has few grants: it gets a new one only after a home was lost. */
+  /* Grants that went to other homes are missing here; a job usually has few. */
   for (guint32 grant = 1, missing = 0; missing < 4; grant++)
     {
       HomeJob *job = home_job_lookup (home, key, grant);
--- a/src/home_parts.h
+++ b/src/home_parts.h
@@ -27,7 +27,7 @@
   HomeTaskState state;
   guint unreachable; /* starts that did not reach the backend server */
   Backend *backend;
-  guint64 fence_query; /* number of the last fence sent for it */
+  guint64 fence_query; /* number of the last fence query sent for it */
   GBytes *payload;
   Gw__Outcome *outcome; /* until the holder acknowledges it */
   gboolean reported;
@@ -47,9 +47,9 @@
   Home *home;
   HomeGroup *group;
   QueueJob *queue_job; /* NULL once nothing is left to queue */
-  guint declared_ms;
+  guint declared_ms;   /* run time of a task; 0: none declared */
   guint memory_mb;
-  guint16 placements;
+  guint16 placements; /* so far; the low half of the last attempt number */
   gboolean held;      /* out of the queue while its holder is unresponsive */
   gboolean set_aside; /* out of the queue for this round of dispatching */
   gboolean orphan;    /* its outcomes are no longer needed */
