--- a/src/queue.c
+++ b/src/queue.c
@@ -216,8 +216,9 @@
   change_waiting (queue, job, -(int)tasks);
 }
 
-/* The least remaining work goes first among the teams below their share; if there is
- * none, among all. A team alone is not limited by its share. */
+/* Teams at their cap are skipped. The job with the least remaining work goes first among
+ * the teams below their share; if there is none, among all: a team alone may use all
+ * slots. */
 QueueJob *
 queue_pick (Queue *queue, guint slots)
 {
--- a/src/queue_estimate.c
+++ b/src/queue_estimate.c
@@ -118,9 +118,10 @@
 }
 
 /* Smaller waiting jobs of its team go before the new job. So do smaller ones that arrive
- * meanwhile; they slow it down by the part of the slots that they take. Of its own class,
- * half goes before it. Other teams count only up to their shares: a job of a team within
- * its share must not be refused because of what others have queued. */
+ * meanwhile; they slow it down by the part of the slots that they take. Half of the
+ * waiting work of its own class is taken to go before it. Other teams count only up to
+ * their shares: a job of a team within its share must not be refused because of what
+ * others have queued. */
 double
 queue_expected_finish (Queue *queue,
                        const char *team_name,
--- a/src/queue_parts.h
+++ b/src/queue_parts.h
@@ -36,11 +36,11 @@
   LIST_ENTRY (QueueJob) link;
   QueueJobInit init;
   QueueTeam *team;
-  GSequenceIter *place; /* NULL while nothing waits */
-  GSequenceIter *due;
+  GSequenceIter *place; /* in its team's jobs; NULL while nothing waits */
+  GSequenceIter *due;   /* in the queue's deadlines; likewise */
   guint waiting;
   guint running;
-  double order;
+  double order; /* key of the start order, the least first */
   guint work_class;
   double work_ms; /* of its waiting tasks, as counted in its class */
 };
