--- a/src/backends.h
+++ b/src/backends.h
@@ -32,7 +32,7 @@
   gint64 backoff_until_ms; /* placement is suspended until then */
   guint64 since_version;   /* roster version that first names it */
   Health health;
-  double slowness; /* run times over the expected ones; 1: as expected */
+  double slowness; /* actual over expected run time (moving average); 1 at first */
   guint answered;  /* observed outcomes */
   guint failed;
 } Backend;
@@ -72,8 +72,8 @@
   const LinkConfig *links;
   guint64 incarnation; /* of this process, the receiver of outcomes */
   const char *zone;
-  guint agent_lost_ms;
-  guint announcement_ms;
+  guint agent_lost_ms;   /* an agent unreachable for longer is declared lost */
+  guint announcement_ms; /* lifetime, of a backend server without an agent */
 } BackendsInit;
 
 Backends *backends_new (const BackendsInit *init, const BackendsOps *ops, gpointer ctx);
@@ -104,7 +104,7 @@
 BackendGroup *backends_group (Backends *backends, const char *name);
 GHashTable *backends_groups (Backends *backends);
 
-/** backends_group_slots - free and busy slots of the usable backend servers. */
+/** backends_group_slots - all slots of the usable servers that are not ejected. */
 guint backends_group_slots (const BackendGroup *group);
 gboolean backends_group_has_agentless (const BackendGroup *group);
 
--- a/src/health.c
+++ b/src/health.c
@@ -1,5 +1,6 @@
 #include "health.h"
 
+/* Weight of one outcome in the failure rate (moving average). */
 #define RECENT_WEIGHT 0.2
 #define MIN_OUTCOMES 5
 #define MAX_FAILURE_RATE 0.6
--- a/src/health.h
+++ b/src/health.h
@@ -1,7 +1,7 @@
 #pragma once
 /* Outlier ejection of a backend server, compared with its group's peers. A server that
- * fails every task at once always has free slots and would attract all tasks. It is
- * ejected, then probed with one task at a time. */
+ * fails every task immediately always has free slots and would attract all tasks. It
+ * is ejected, then probed with one task at a time. */
 #include <glib.h>
 
 typedef enum
@@ -18,7 +18,7 @@
   guint outcomes;      /* since the last ejection or recovery */
   guint ejections;     /* in a row, for the backoff */
   gint64 until_ms;     /* end of the ejection */
-  guint good_probes;
+  guint good_probes;   /* since the ejection */
 } Health;
 
 /* The server's group, for comparison. */
@@ -26,7 +26,7 @@
 {
   double failure_rate; /* mean of the others in good health */
   guint backends;      /* with the server itself */
-  guint ejected;
+  guint ejected;       /* or probing */
 } HealthPeers;
 
 /**
