--- a/src/agent_frames.c
+++ b/src/agent_frames.c
@@ -162,8 +162,9 @@
   guint64 incarnation = record != NULL ? record->incarnation : 0;
 
   agent_peers_link_down (agent->peers, link);
-  /* Outcomes sent over it may be lost, and there may be no link_up to resend them on: an
-   * entry that is no longer a home here keeps only the link it reconciles over. */
+  /* Outcomes sent over it may be lost. Resend them over the entry's other link, if one is
+   * up: on_up () may not follow, because an entry that is no longer a home here keeps
+   * only the link that it reconciles over. */
   if (incarnation != 0 && agent_peers_link_to (agent->peers, incarnation) != NULL)
     owner_resend (agent_owner (agent), incarnation);
 }
