--- a/tests/home_scene.c
+++ b/tests/home_scene.c
@@ -75,7 +75,7 @@
 }
 
 static void
-on_gone (Backend *backend, gpointer ctx)
+on_lost (Backend *backend, gpointer ctx)
 {
   Scene *scene = ctx;
 
@@ -94,7 +94,7 @@
 }
 
 static const BackendsOps backends_ops
-    = { on_free_slots, on_roster,           on_reached, on_gone,
+    = { on_free_slots, on_roster,           on_reached, on_lost,
         on_moved,      on_executor_outcome, get_fleet };
 
 static void
@@ -352,11 +352,11 @@
 }
 
 static void
-add_running (const char *group,
-             const char *team,
-             guint waiting,
-             guint running,
-             gpointer ctx)
+add_tasks (const char *group,
+           const char *team,
+           guint waiting,
+           guint running,
+           gpointer ctx)
 {
   *(guint *)ctx += waiting + running;
 }
@@ -366,7 +366,7 @@
 {
   guint left = 0;
 
-  home_each_team (scene->home, add_running, &left);
+  home_each_team (scene->home, add_tasks, &left);
   g_assert_cmpuint (left, ==, 0);
   g_assert_cmpuint (home_open_tasks (scene->home), ==, 0);
   g_assert_cmpuint (scene_backend (scene)->placed, ==, 0);
--- a/tests/test-home.c
+++ b/tests/test-home.c
@@ -28,7 +28,7 @@
   return scene->outcomes->len == 1;
 }
 
-/* Tasks of an answered job ran a second time on other backend servers. After a lost link
+/* Tasks of an answered job must not run again on other backend servers. After a lost link
  * the holder repeats the grant, receives the last outcomes in the same event-loop
  * iteration and sends grant and final ack in one frame. The ack, handled first, frees the
  * job, and the grant then looks new. */
@@ -48,10 +48,10 @@
   scene_free (scene);
 }
 
-/* A slot stayed taken forever and the queue never emptied. A start is lost with its link;
+/* A slot must not stay taken forever, nor the queue full. A start is lost with its link;
  * the holder, which also lost this home, reconciles and grants the task to another home,
- * which starts it at the same slot owner. The owner answers this home's fence with the
- * other attempt, and no outcome under this home's own attempt ever follows. */
+ * which starts it at the same slot owner. The slot owner answers this home's fence with
+ * the other attempt, and no outcome under this home's own attempt ever follows. */
 static void
 test_started_by_another (void)
 {
@@ -69,9 +69,9 @@
   scene_free (scene);
 }
 
-/* The outcome of a running task was dropped after a lost link: the slot owner, linked
- * again, reported the task as started under this home's attempt, and the home took that
- * for its end. */
+/* The outcome of a running task must not be dropped after a lost link. The slot owner,
+ * linked again, reports the task as started under this home's attempt; the home must not
+ * take that for its end. */
 static void
 test_started_by_us (void)
 {
@@ -93,10 +93,10 @@
   scene_free (scene);
 }
 
-/* The home aborted on a wrong count, or a task waited forever. The holder stops
- * responding and its job leaves the queue; the slot owner then refuses a start. The
- * refused task went back to the queue at once, and a second time with its job when the
- * holder responded. */
+/* The holder stops responding and its job leaves the queue; the slot owner then refuses a
+ * start. The refused task must be queued only once, with its job when the holder responds
+ * again. Queued at once as well, it made the home abort on a wrong count or waited
+ * forever. */
 static void
 test_refused_while_held (void)
 {
@@ -172,9 +172,9 @@
   *(guint64 *)ctx = task->receiver;
 }
 
-/* A job failed at its deadline although all its tasks were answered. A second home starts
- * a task and is lost; the holder's fence directs the outcome to itself. The first home
- * resumes and sends a fence for its own earlier attempt, which must not redirect the
+/* A job must not fail at its deadline when all its tasks are answered. A second home
+ * starts a task and is lost; the holder's fence directs the outcome to itself. The first
+ * home resumes and sends a fence for its own earlier attempt, which must not redirect the
  * outcome again. */
 static void
 test_late_question (void)
@@ -225,9 +225,9 @@
                       && task->reason == GW__OUTCOME__REASON__MEMORY;
 }
 
-/* An agent kept unacknowledged answers without a bound, until its machine killed it and
- * its records were lost. Beyond the bound it must refuse starts until the answers are
- * acknowledged. */
+/* An agent must bound the memory of unacknowledged answers: without a bound it was killed
+ * for lack of memory and its records were lost. Beyond the bound it must refuse starts
+ * until the answers are acknowledged. */
 static void
 test_memory_bound (void)
 {
--- a/tests/test-leaving.c
+++ b/tests/test-leaving.c
@@ -5,7 +5,7 @@
 
 #include <stdlib.h>
 
-/* Starts must end "after a few seconds". */
+/* No task may start on a leaving backend server after this. */
 #define LEAVING_LIMIT_MS 5000
 #define PRESSURE_JOBS 8
 
--- a/tests/test-once.c
+++ b/tests/test-once.c
@@ -1,5 +1,5 @@
 /* No task starts twice; a job is complete or failed, never partial; "not run" is true.
- * Each fault of the table is injected while jobs of all entries run. */
+ * Each fault of fault_cases is injected while jobs of all entries run. */
 #include "cases.h"
 #include "jobs.h"
 #include "relay.h"
@@ -66,7 +66,7 @@
 }
 
 /* The home dies with some tasks placed and others queued; none may be lost or run twice.
- * Only the slot owners know which started, so the holder must ask and fence all of them.
+ * Only the slot owners know which started, so the holder must query and fence them all.
  */
 static void
 inject_kill_home (Scene *scene)
@@ -115,8 +115,8 @@
 }
 
 /* The link is reset in the middle of a frame and opened anew. Neither end knows what the
- * other has processed and must ask: no start or outcome may be lost, no task start twice.
- */
+ * other has processed and must query it: no start or outcome may be lost, no task start
+ * twice. */
 static void
 inject_cuts (Scene *scene)
 {
@@ -144,14 +144,14 @@
 
 /* One-way loss: what the home sends is lost while it still receives outcomes and so sends
  * more tasks, until the agent misses heartbeats and opens a new connection. Those tasks
- * must not wait for ever: only a query shows that the slot owner never got them. */
+ * must not wait forever: only a query shows that the slot owner never got them. */
 static void
 inject_one_way_loss (Scene *scene)
 {
   relay_set_mode (scene->harness->relay, RELAY_DROP_REPLIES, FALSE);
 }
 
-/* An outage of the platform's table must not stop tasks. */
+/* Tasks must go on while requests to the platform's table hang. */
 static void
 inject_table_hang (Scene *scene)
 {
@@ -289,7 +289,7 @@
 
 /* An answered task must not run again after its agent and then its home die. The home
  * withholds outcomes until the job's other tasks end, and removes the dead agent from the
- * roster: the holder then asks only slot owners that never had the task and would take
+ * roster: the holder then queries only slot owners that never had the task and would take
  * this as proof that it did not run. */
 static void
 test_owner_then_home (void)
@@ -321,8 +321,8 @@
 /* A task must not start twice when an agent joins while its home is stopped. The home
  * is declared dead, its tasks are reconciled with the slot owners of its roster and
  * granted elsewhere. On waking, unaware of this because only its own clock stood still,
- * it links to the holder again, sends a roster with the new agent, which was never asked,
- * and once that is acknowledged would start its old tasks there. */
+ * it links to the holder again, sends a roster with the new agent, which was never
+ * fenced, and once that is acknowledged would start its old tasks there. */
 static void
 test_new_owner_after_reconciliation (void)
 {
@@ -349,7 +349,7 @@
 
 /* With more than four entries agents link to two of them only, the home and the next in
  * rank. When the home dies with tasks running and queued, holders without a link to any
- * agent must still be able to reconcile, or the tasks wait for ever. */
+ * agent must still be able to reconcile, or the tasks wait forever. */
 static void
 test_many_entries (void)
 {
